--- a/src/entry/CallTracer.cpp
+++ b/src/entry/CallTracer.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-    // How often the running attempts are read, and how soon again for a call whose parent may have started since: a
-    // node may pass on thousands of calls a second beside hundreds of attempts.
+    // Minimum age of the snapshot of running attempts before it is refreshed, and the shorter one for a call whose
+    // parent may have started since. Scanning on every call is too expensive: a node may forward thousands of calls per
+    // second while hundreds of attempts run.
     constexpr Duration readPeriod = milliseconds(10);
     constexpr Duration readPeriodForMissing = milliseconds(1);
-    // A backend server is told its time in whole milliseconds, and tells its calls' time in the same.
+    // Remaining time is exchanged with backend servers in whole milliseconds, in both directions.
     constexpr Duration deadlineRounding = milliseconds(2);
-    // Time that a request and its call spend between node and backend server, without lag.
+    // Transit time of a request and its call between node and backend server, without lag.
     constexpr Duration deadlineTravel = milliseconds(1);
-    // How far around a deadline others are counted, to tell how many match by chance.
+    // Window on each side of the matching interval in which deadlines are counted to estimate chance matches.
     constexpr Duration neighbourhood = milliseconds(50);
-    // Share of the matches of a route that have to be true for one to be believed.
+    // Minimum estimated share of true matches among a route's matches for a match to be accepted.
     constexpr double believedShare = 0.8;
-    // Share of calls that match their parent from which on it is looked for among those that have just started.
+    // Minimum match rate of a route for a call without a match to refresh the snapshot early.
     constexpr double shareWorthReading = 0.5;
-    // Counts are halved at this many calls.
+    // Evidence is halved whenever it reaches this many calls.
     constexpr double callsRemembered = 512;
 
 } // namespace
@@ -41,7 +42,7 @@
     auto& evidence = found->second;
     readRunning(readPeriod);
 
-    // 1. By its deadline.
+    // 1. Match by deadline.
     std::optional<Instant> callDeadline;
     if (remaining && !m_running.empty()) {
         callDeadline = m_clock.now() + *remaining;
@@ -55,7 +56,7 @@
             return TracedCall { *matches.parents.front(), true, true };
     }
 
-    // 2. By what its route's calls mostly belong to.
+    // 2. Otherwise sample a parent by the evidence for the called route.
     if (m_running.empty())
         return std::nullopt;
     return likelyParent(evidence, callDeadline);
@@ -80,7 +81,7 @@
         m_byRoute[parent.route].push_back(&parent);
 }
 
-// What a call spent on its way, and unread, makes its deadline look later than its parent's.
+// Transit time and read delay make a call's deadline appear later than its parent's.
 CallTracer::Matches CallTracer::matchesOf(Instant callDeadline, Duration unread) const
 {
     const auto earliest = callDeadline - unread - deadlineTravel;
@@ -106,7 +107,7 @@
     return matches;
 }
 
-// Each match counts for the route of the request that it was, less what the deadlines around would give.
+// Credits each match to the parent's route, minus the matches expected by chance.
 void CallTracer::learn(Evidence& evidence, const Matches& matches)
 {
     evidence.calls += 1;
@@ -121,7 +122,7 @@
         count /= 2;
 }
 
-// Share of the calls that match their parent: (matches beyond chance + 1) / (calls + 2), a half before any has come.
+// Estimated share of calls that match their parent, with a prior of one half: (excess matches + 1) / (calls + 2).
 double CallTracer::Evidence::share() const
 {
     double matched = 1;
@@ -136,8 +137,8 @@
     return !matches.parents.empty() && share >= believedShare * (share + matches.byChance);
 }
 
-// One that runs for at least as long as the call, on a route whose requests are known to make such calls; any of them
-// while nothing is known.
+// Samples a running request that lasts at least as long as the call, its route weighted by the evidence for making such
+// calls. Without evidence, samples uniformly from all running requests.
 TracedCall CallTracer::likelyParent(const Evidence& evidence, std::optional<Instant> callDeadline)
 {
     double total = 0;
@@ -161,7 +162,7 @@
     return *lasting[m_random.below(lasting.size())];
 }
 
-// Calls of requests on the route, as far as matches show.
+// Estimated number of calls made by requests of the route, from matches in excess of chance.
 double CallTracer::callsOf(const Evidence& evidence, const RouteName& route)
 {
     const auto found = evidence.excess.find(route);
--- a/src/entry/CallTracer.h
+++ b/src/entry/CallTracer.h
@@ -1,11 +1,12 @@
-/// Which of the requests that run beside a node has made a call that names no parent. Private to the entry library.
+/// Infers which request running at a co-located backend server made a call that carries no parent id. Private to the
+/// entry library.
 #pragma once
 
 #include "board/Board.h"
 
 namespace Vanillaridge {
 
-/// What a call takes over from the request that made it.
+/// The attributes that a call inherits from the request that made it.
 struct CallParent {
     Instant deadline;
     Rank rank;
@@ -15,38 +16,39 @@
     RouteName route;
 };
 
-/// The request that a call belongs to, or one that it is likely to be like.
+/// The parent of a call, or a sampled request that stands in for an unidentified parent.
 struct TracedCall {
     CallParent parent;
+    /// Whether the parent was identified by its deadline rather than sampled.
     bool known { false };
-    /// Whether calls of its route are known to come from requests of the parent's.
+    /// Whether there is evidence that requests of the parent's route make calls of this route.
     bool routeKnown { false };
 };
 
-/// A backend server's call lasts no longer than the request that made it, and where that is what bounds it, its
-/// deadline names its parent. Deadlines lie close together while much runs, so a match is believed only as far as calls
-/// of the route match more often than chance would have it. What is learnt so also tells which routes make calls that
-/// match nobody. Any thread may call it.
+/// A call's deadline is never later than its parent's. Where the parent's deadline is what bounds the call, the two
+/// match and identify the parent. Under load many deadlines lie close together, so a match is accepted only if calls of
+/// the route match clearly more often than expected by chance. The same statistics weight the parent routes of calls
+/// that match no request. Thread-safe.
 class CallTracer {
 public:
     CallTracer(Board&, const Clock&, RandomSource&);
 
-    /// \param called route of the call
-    /// \param remaining time that the call came with
-    /// \param unread for how long it may have lain unread
-    /// \return nothing when no request runs beside this node
+    /// \param called the route being called
+    /// \param remaining time to the deadline that the call carries
+    /// \param unread longest time that the call may have waited in the socket before it was read
+    /// \return std::nullopt if no request is known to run at a co-located backend server
     std::optional<TracedCall> trace(std::string_view called, std::optional<Duration> remaining, Duration unread);
 
 private:
-    /// Calls of one route, counted with decay.
+    /// Match statistics of one called route, with decay.
     struct Evidence {
         double calls { 0 };
-        /// By the route of those running: matches, less those that the deadlines around explain.
+        /// Per parent route: matches minus those expected by chance, given the density of nearby deadlines.
         std::map<RouteName, double> excess;
         double share() const;
     };
-    /// The running requests whose deadline may be the call's, nearest first; how many others may be expected among
-    /// them, by their routes and in all.
+    /// The running requests whose deadline matches the call's, nearest first, and the number of matches expected by
+    /// chance, per route and in total.
     struct Matches {
         std::vector<const CallParent*> parents;
         std::map<std::string_view, double> chanceByRoute;
@@ -66,7 +68,7 @@
     RandomSource& m_random;
     std::mutex m_lock;
     Instant m_readAt;
-    /// In the order of their deadlines.
+    /// Sorted by deadline.
     std::vector<CallParent> m_running;
     std::map<RouteName, std::vector<const CallParent*>> m_byRoute;
     std::unordered_map<RouteName, Evidence, NameHash, std::equal_to<>> m_evidence;
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-    // Lag of the node from which on new requests are refused here, for the most important ones, and how much earlier
-    // that begins for the least important; over how much lag a rank goes from none to all. The shortest target latency
-    // of the deployments served is 100 ms, and callers may leave within 0.5 s without work going on for them.
+    // Lag above which the node sheds new requests of the highest rank, how much lower that threshold is for the lowest
+    // rank, and the range of lag over which shedding of a rank rises from none to all. The shortest target latency of
+    // the supported deployments is 100 ms, and work for a caller that disconnects must stop within 0.5 s.
     constexpr Duration refusedLag = milliseconds(300);
     constexpr Duration lagOfRanks = milliseconds(200);
     constexpr Duration lagSpan = milliseconds(150);
 
-    // Share of the longest time that callers of a route give below which a request is taken for one that was refused
-    // and has come back: those come after a wait, while callers that repeat at once have nearly all their time left.
+    // A request with less than this share of the longest timeout seen on its route is treated as a retry after a
+    // refusal: such retries come after a delay, while callers that retry at once have nearly all their time left.
     constexpr double returningShare = 0.93;
-    // What is left of the longest time after another request, so that a shorter one is learnt in time.
+    // Decay of the longest timeout per request, so that it adapts when callers switch to shorter ones.
     constexpr double longestDecay = 0.9998;
-    // Highest bits of the tree's hash: with none of them set, a request is among the last quarter of its class to be
+    // Highest bits of the tree hash. A request with these bits cleared is among the last quarter of its rank to be
     // shed.
     constexpr uint64_t quarterBits = uint64_t(3) << 62;
 
-    // Whether a new request is refused because this node lags behind: the least important first.
+    // Whether a new request is shed because of the node's lag. The lowest rank is shed first.
     bool isShedForLag(const RequestContext& context, Duration lag)
     {
         const auto begins
@@ -33,7 +33,7 @@
         return unitOfHash(mixHash(context.treeHash, 1)) < share;
     }
 
-    // Retry-After of a request that comes before the first configuration, or while it is not confirmed.
+    // Retry-After of requests that arrive before the first configuration, or while it is not confirmed.
     constexpr Duration configurationRetry = seconds(2);
 
 } // namespace
@@ -58,14 +58,14 @@
         return decision;
     }
 
-    // Numbers that are never used twice, and that nobody who has seen some can guess the others from.
+    // Sequence numbers are unique, and cannot be predicted from others.
     RequestId nextId()
     {
         const auto& self = board.self();
         return { self.id(), self.boot, mixHash(sequenceSecret, sequence.fetch_add(1, std::memory_order_relaxed)) };
     }
 
-    // Whether the request has come back after a refusal, as the time that its caller still gives it shows.
+    // Whether the remaining time indicates that the request is a retry after a refusal.
     bool isReturning(const Route& route, std::optional<Duration> remaining)
     {
         if (!remaining)
@@ -77,7 +77,7 @@
         });
     }
 
-    // Gives a call that names no parent what it has of the request that it belongs to, or is likely to be like.
+    // Lets a call without a parent id inherit from its inferred or sampled parent.
     void adoptParent(EntryDecision& decision, const IncomingRequest& request)
     {
         auto& context = decision.context;
@@ -96,8 +96,8 @@
             context.treeHash = parent.treeHash;
     }
 
-    // The service for the next request of the route. Steps of the golden ratio visit the weights evenly from the first
-    // request on, whatever their number.
+    // The service for the next request of the route. Golden ratio steps spread requests evenly over the weights from
+    // the first request on, for any number of weights.
     ServiceName serviceOf(const Route& route)
     {
         if (route.shares.empty())
@@ -125,9 +125,9 @@
     const Freshness& freshness;
     Retry& retry;
     CallTracer tracer;
-    /// Longest time that callers of a route have given of late, in nanoseconds.
+    /// Longest recent caller timeout per route in nanoseconds, with decay.
     Sharded<RouteName, double> longest;
-    /// Where each route with several services stands in its turns, from 0 to 1.
+    /// Current position of each route with several services in its weighted rotation, from 0 to 1.
     Sharded<RouteName, double> turns;
     const uint64_t sequenceSecret;
     std::atomic<uint64_t> sequence { 0 };
@@ -142,7 +142,7 @@
 
 namespace {
 
-    // Finds the account that the request counts for; a reason when it may not go on. An open route counts for nobody.
+    // Finds the account to charge, or returns the reason for refusing the request. Open routes charge no account.
     Reason authorize(const Configuration& configuration, const Route& route, std::optional<std::string_view> key,
         const ClientAccount*& account)
     {
@@ -156,7 +156,7 @@
         return configuration.mayUse(route, account->name) ? Reason::None : Reason::RouteForbidden;
     }
 
-    // The account's importance goes before the route's; a caller can only lower them.
+    // The account's importance overrides the route's. A caller can only lower them.
     Rank rankOf(const Route& route, const ClientAccount* account, std::optional<Importance> wanted)
     {
         const auto own = account ? account->importance.value_or(route.importance) : route.importance;
@@ -169,12 +169,12 @@
 {
     auto& self = *m_state;
 
-    // 1. A configuration to go by.
+    // 1. The configuration in force.
     const auto configuration = self.board.configuration().inForce();
     if (!configuration)
         return self.refuse(Reason::NoConfiguration, configurationRetry);
 
-    // 2. The route and the account. A key is only as good as the configuration that knows it.
+    // 2. The route and the account. A key is only accepted while the configuration that lists it is fresh.
     const auto* route = configuration->route(request.host, request.method, request.path);
     if (!route)
         return self.refuse(Reason::NoRoute);
@@ -190,7 +190,7 @@
     if (decision.reason != Reason::None)
         return decision;
 
-    // 3. Its time.
+    // 3. The deadline.
     const auto now = self.clock.now();
     decision.context.remaining = std::min(route->timeout, request.remaining.value_or(route->timeout));
     decision.context.remaining -= request.unread;
@@ -198,7 +198,7 @@
     if (decision.context.remaining <= Duration(0))
         return self.refuse(Reason::DeadlineExceeded);
 
-    // 4. What travels with it.
+    // 4. The context that is propagated with the request.
     auto& context = decision.context;
     context.attempt.request = self.nextId();
     context.route = route->name;
@@ -229,7 +229,7 @@
     if (!configuration)
         return self.refuse(Reason::NoConfiguration, configurationRetry);
 
-    // 1. The parent, which must be running at a backend server beside this node.
+    // 1. The parent, which must be running at a co-located backend server.
     EntryDecision decision;
     auto& context = decision.context;
     Reason reason = Reason::ParentUnknown;
@@ -243,7 +243,7 @@
     if (reason != Reason::None)
         return self.refuse(reason);
 
-    // 2. The route, for the parent's account.
+    // 2. The route, authorized for the parent's account.
     const auto* route = configuration->route(request.host, request.method, request.path);
     if (!route)
         return self.refuse(Reason::NoRoute);
@@ -256,7 +256,7 @@
     if (context.depth >= configuration->policy().maximumDepth)
         return self.refuse(Reason::CallDepthExceeded);
 
-    // 3. Its time: never more than the parent has left.
+    // 3. The deadline, never later than the parent's.
     const auto now = self.clock.now();
     const auto allowed = std::min(route->timeout, request.remaining.value_or(route->timeout));
     decision.deadline = std::min(decision.deadline, now + allowed);
@@ -264,7 +264,7 @@
     if (context.remaining <= Duration(0))
         return self.refuse(Reason::DeadlineExceeded);
 
-    // 4. What travels with it: worth and tree as the parent's, retries out of the parent's.
+    // 4. The context: rank and tree are inherited, retries are lent from the parent's budget.
     decision.retriesLent = self.retry.lendToChild(parent);
     context.attempt = { self.nextId(), 0 };
     context.route = route->name;
--- a/src/entry/Entry.h
+++ b/src/entry/Entry.h
@@ -1,6 +1,7 @@
-/// What happens to a request where it enters: who it is for, what it is worth, and how long it may take.
+/// Handles a request at the node that it enters: resolves its route and account, and assigns its rank and deadline.
 ///
-/// Decisions over the board only. A front end reads requests and writes replies; any front end can use this code.
+/// Makes decisions on the board only. Reading requests and writing replies is left to the front end, so that any front
+/// end can use this code.
 #pragma once
 
 #include "board/Board.h"
@@ -9,29 +10,29 @@
 
 namespace Vanillaridge {
 
-/// A request as any front end can describe it.
+/// A request, independent of the front end's protocol.
 struct IncomingRequest {
-    /// In lower case and without a port.
+    /// Lower case, without the port.
     std::string_view host;
     std::string_view method;
-    /// Without the query.
+    /// Without the query string.
     std::string_view path;
-    /// The caller's key; absent when none came.
+    /// The caller's key, if it sent one.
     std::optional<std::string_view> key;
-    /// Time that the caller gives it.
+    /// Time to the caller's deadline, if it sent one.
     std::optional<Duration> remaining;
-    /// How important the caller holds it; it can lower the request's rank, not raise it.
+    /// Importance that the caller asks for. It can only lower the request's rank, never raise it.
     std::optional<Importance> importance;
-    /// Length of its body in bytes, when known.
+    /// Length of the body, if known.
     std::optional<uint64_t> bodyBytes;
-    /// For how long it may have lain unread: so much of its time may be over, and so short is the node of processor
-    /// time.
+    /// Longest time that the request may have waited in the socket before it was read, from the lag of the event loop.
+    /// It is deducted from a caller's remaining time, and indicates how overloaded the node's processor is.
     Duration unread { 0 };
 };
 
-/// What entry decides: a request to be served, or why not.
+/// The entry's decision: the context of an accepted request, or the reason for refusing it.
 struct EntryDecision {
-    /// None when the request is to be served.
+    /// None if the request is accepted.
     Reason reason { Reason::None };
     Duration retryAfter { 0 };
     RequestContext context;
@@ -39,29 +40,31 @@
     /// Keeps route and account alive.
     ConfigurationPointer configuration;
     const Route* route { nullptr };
-    /// The account that a caller's request counts for; null on an open route and for a call.
+    /// The account that a caller's request is charged to; null on an open route and for a call.
     const ClientAccount* account { nullptr };
-    /// Retries lent by the parent's attempt.
+    /// Retries lent from the parent attempt's budget.
     uint32_t retriesLent { 0 };
-    /// Of a call that names no parent: the route of the request that it belongs to, or is likely to.
+    /// Actual or likely route of the parent, for a call that carries no parent id; empty if there is no evidence.
     RouteName parentRoute {};
 };
 
-/// May be called from several threads. References must outlive it.
+/// Thread-safe. The references must outlive it.
 class Entry {
 public:
     Entry(Board&, const Clock&, RandomSource&, const Freshness&, Retry&);
     ~Entry();
 
-    /// Decides about a caller's request. What follows counts against its account. One that has come back after a
-    /// refusal is shed after the others of its rank. Where accounts are declared, a request to an open route that
-    /// enters beside a backend server with work is taken for a call of that server. It names no parent: if its deadline
-    /// tells which running request made it, it takes rank, tree and depth from there, and otherwise the worth of one
-    /// that its like mostly belong to, so that the loads that services further down tell of are divided among ranks as
-    /// the calls really are.
+    /// Decides on a caller's request, and charges it and its calls to the caller's account. A retry after a refusal is
+    /// shed after other requests of its rank.
+    ///
+    /// Where accounts are declared, a request to an open route is treated as a call of a co-located backend server if
+    /// that has running requests. Such a call carries no parent id. If its deadline identifies the parent, it inherits
+    /// that request's rank, tree and depth; otherwise it inherits rank and depth from a running request sampled by the
+    /// evidence for its route. Load reported by downstream services is thus attributed to ranks in proportion to the
+    /// actual calls.
     EntryDecision decide(const IncomingRequest&);
-    /// Decides about a call that a backend server beside this node makes for the request it is running. Account,
-    /// importance, deadline and retries are the parent's: the backend server cannot change them.
+    /// Decides on a call that a co-located backend server makes for a request it is running. Account and importance
+    /// are the parent's, and its deadline and retries are upper bounds: the backend server cannot override them.
     EntryDecision decideCall(const IncomingRequest&, const AttemptId& parent);
 
 private:
@@ -69,7 +72,7 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Whether the key stands where it would be passed on.
+/// Whether the request target contains the key, which would then be forwarded with it.
 bool targetCarriesKey(std::string_view target, std::string_view key);
 
 } // namespace Vanillaridge
--- a/tests/EntryTests.cpp
+++ b/tests/EntryTests.cpp
@@ -63,13 +63,13 @@
         return entry.decide(request);
     }
 
-    // A call of the backend server beside the node, which lasts for so long.
+    // Makes a call from the co-located backend server with this remaining time.
     EntryDecision call(Duration remaining, Duration unread = Duration(0))
     {
         return decide("rides.example", "/registry/1", {}, remaining, unread);
     }
 
-    // A request that runs at the backend server beside the node, and may run for so long.
+    // Starts a request at the co-located backend server whose deadline is this far away.
     void run(uint64_t sequence, const RouteName& route, Importance importance, Duration left = seconds(3))
     {
         const AttemptId id { { { 9 }, { 9 }, sequence }, 1 };
@@ -170,7 +170,7 @@
     run(1, "sign", Importance::Critical, milliseconds(600));
     run(2, "upload", Importance::Low, milliseconds(900));
     clock.advance(milliseconds(100));
-    // It came with 500 ms, and was read 15 ms later.
+    // The call arrived with 500 ms remaining and was read 15 ms later.
     clock.advance(milliseconds(15));
     const auto decision = call(milliseconds(500), milliseconds(20));
     BOOST_TEST(decision.context.parentKnown);
@@ -183,7 +183,7 @@
     run(2, "upload", Importance::Low, milliseconds(900));
     for (int i = 0; i < 100; ++i)
         BOOST_TEST(call(milliseconds(600)).parentRoute == "sign");
-    // Nor by a call that has less time than either of them.
+    // Nor if the call's deadline is earlier than that of either request.
     for (int i = 0; i < 50; ++i) {
         const auto untraced = call(milliseconds(300));
         BOOST_TEST(!untraced.context.parentKnown);
@@ -221,7 +221,7 @@
         run(i, i % 2 ? "upload" : "sign", Importance::High, milliseconds(400 + 4 * i));
     int toUploads = 0;
     for (int i = 0; i < 1000; ++i) {
-        // Every fourth call has the time that is left of a signature.
+        // Every fourth call has the deadline of a running "sign" request.
         const auto left = i % 4 ? milliseconds(600 + random->below(100)) : milliseconds(400 + 8 * random->below(100));
         toUploads += i >= 500 && call(left).parentRoute == "upload";
     }
@@ -340,7 +340,7 @@
     double lowest = rankCount;
     for (int i = 0; i < 200; ++i) {
         lowest = std::min(lowest, rankOf(seconds(5)));
-        // One that repeats at once has no claim to that.
+        // A caller that retries at once is not favored.
         lowest = std::min(lowest, rankOf(milliseconds(4900)));
     }
     BOOST_TEST(lowest < 13.1);
