--- a/src/entry/CallTracer.cpp
+++ b/src/entry/CallTracer.cpp
@@ -9,20 +9,20 @@
     // Minimum age of the snapshot of running attempts before it is refreshed, and the shorter one for a call whose
     // parent may have started since. Scanning on every call is too expensive: a node may forward thousands of calls per
     // second while hundreds of attempts run.
-    constexpr Duration readPeriod = milliseconds(10);
-    constexpr Duration readPeriodForMissing = milliseconds(1);
+    constexpr Duration refreshPeriod = milliseconds(10);
+    constexpr Duration refreshPeriodOnMiss = milliseconds(1);
     // Remaining time is exchanged with backend servers in whole milliseconds, in both directions.
     constexpr Duration deadlineRounding = milliseconds(2);
     // Transit time of a request and its call between node and backend server, without lag.
-    constexpr Duration deadlineTravel = milliseconds(1);
+    constexpr Duration callTransitTime = milliseconds(1);
     // Window on each side of the matching interval in which deadlines are counted to estimate chance matches.
-    constexpr Duration neighbourhood = milliseconds(50);
+    constexpr Duration chanceWindow = milliseconds(50);
     // Minimum estimated share of true matches among a route's matches for a match to be accepted.
-    constexpr double believedShare = 0.8;
+    constexpr double minimumPrecision = 0.8;
     // Minimum match rate of a route for a call without a match to refresh the snapshot early.
-    constexpr double shareWorthReading = 0.5;
+    constexpr double minimumRateForRefresh = 0.5;
     // Evidence is halved whenever it reaches this many calls.
-    constexpr double callsRemembered = 512;
+    constexpr double evidenceHalvingCalls = 512;
 
 } // namespace
 
@@ -33,41 +33,42 @@
 {
 }
 
-std::optional<TracedCall> CallTracer::trace(std::string_view called, std::optional<Duration> remaining, Duration unread)
+std::optional<TracedCall> CallTracer::trace(
+    std::string_view calledRoute, std::optional<Duration> remaining, Duration unread)
 {
     std::lock_guard guard(m_lock);
-    auto found = m_evidence.find(called);
+    auto found = m_evidence.find(calledRoute);
     if (found == m_evidence.end())
-        found = m_evidence.emplace(called, Evidence {}).first;
+        found = m_evidence.emplace(calledRoute, Evidence {}).first;
     auto& evidence = found->second;
-    readRunning(readPeriod);
+    refreshRunning(refreshPeriod);
 
     // 1. Match by deadline.
     std::optional<Instant> callDeadline;
     if (remaining && !m_running.empty()) {
         callDeadline = m_clock.now() + *remaining;
-        auto matches = matchesOf(*callDeadline, unread);
-        if (matches.parents.empty() && evidence.share() >= shareWorthReading) {
-            readRunning(readPeriodForMissing);
-            matches = matchesOf(*callDeadline, unread);
+        auto matches = findMatches(*callDeadline, unread);
+        if (matches.parents.empty() && evidence.matchRate() >= minimumRateForRefresh) {
+            refreshRunning(refreshPeriodOnMiss);
+            matches = findMatches(*callDeadline, unread);
         }
         learn(evidence, matches);
-        if (isBelieved(evidence, matches))
+        if (isReliable(evidence, matches))
             return TracedCall { *matches.parents.front(), true, true };
     }
 
     // 2. Otherwise sample a parent by the evidence for the called route.
     if (m_running.empty())
         return std::nullopt;
-    return likelyParent(evidence, callDeadline);
+    return sampleParent(evidence, callDeadline);
 }
 
-void CallTracer::readRunning(Duration period)
+void CallTracer::refreshRunning(Duration period)
 {
     const auto now = m_clock.now();
-    if (!m_running.empty() && now - m_readAt < period)
+    if (!m_running.empty() && now - m_refreshedAt < period)
         return;
-    m_readAt = now;
+    m_refreshedAt = now;
     m_running.clear();
     m_board.attempts().forEach([&](const AttemptId&, const AttemptRecord& record) {
         const auto& context = record.context;
@@ -76,15 +77,15 @@
                 { record.deadline, context.rank, context.represents, context.depth, context.treeHash, context.route });
     });
     std::ranges::sort(m_running, {}, &CallParent::deadline);
-    m_byRoute.clear();
+    m_runningByRoute.clear();
     for (const auto& parent : m_running)
-        m_byRoute[parent.route].push_back(&parent);
+        m_runningByRoute[parent.route].push_back(&parent);
 }
 
 // Transit time and read delay make a call's deadline appear later than its parent's.
-CallTracer::Matches CallTracer::matchesOf(Instant callDeadline, Duration unread) const
+CallTracer::Matches CallTracer::findMatches(Instant callDeadline, Duration unread) const
 {
-    const auto earliest = callDeadline - unread - deadlineTravel;
+    const auto earliest = callDeadline - unread - callTransitTime;
     const auto latest = callDeadline + deadlineRounding;
     const auto between = [&](Instant from, Instant to) {
         const auto first = std::ranges::lower_bound(m_running, from, {}, &CallParent::deadline);
@@ -97,12 +98,12 @@
     const auto distance = [&](const CallParent* parent) { return std::chrono::abs(parent->deadline - callDeadline); };
     std::ranges::sort(matches.parents, {}, distance);
 
-    const double part = inSeconds(latest - earliest) / inSeconds(latest - earliest + 2 * neighbourhood);
-    for (const auto& other : between(earliest - neighbourhood, latest + neighbourhood)) {
+    const double windowShare = inSeconds(latest - earliest) / inSeconds(latest - earliest + 2 * chanceWindow);
+    for (const auto& other : between(earliest - chanceWindow, latest + chanceWindow)) {
         if (other.deadline >= earliest && other.deadline <= latest)
             continue;
-        matches.chanceByRoute[other.route] += part / (1 - part);
-        matches.byChance += part / (1 - part);
+        matches.expectedByRoute[other.route] += windowShare / (1 - windowShare);
+        matches.expectedByChance += windowShare / (1 - windowShare);
     }
     return matches;
 }
@@ -113,9 +114,9 @@
     evidence.calls += 1;
     for (const auto* parent : matches.parents)
         evidence.excess[parent->route] += 1;
-    for (const auto& [route, chance] : matches.chanceByRoute)
-        evidence.excess[RouteName(route)] -= chance;
-    if (evidence.calls < callsRemembered)
+    for (const auto& [route, expected] : matches.expectedByRoute)
+        evidence.excess[RouteName(route)] -= expected;
+    if (evidence.calls < evidenceHalvingCalls)
         return;
     evidence.calls /= 2;
     for (auto& [route, count] : evidence.excess)
@@ -123,7 +124,7 @@
 }
 
 // Estimated share of calls that match their parent, with a prior of one half: (excess matches + 1) / (calls + 2).
-double CallTracer::Evidence::share() const
+double CallTracer::Evidence::matchRate() const
 {
     double matched = 1;
     for (const auto& [route, count] : excess)
@@ -131,39 +132,39 @@
     return std::min(1.0, matched / (calls + 2));
 }
 
-bool CallTracer::isBelieved(const Evidence& evidence, const Matches& matches)
+bool CallTracer::isReliable(const Evidence& evidence, const Matches& matches)
 {
-    const double share = evidence.share();
-    return !matches.parents.empty() && share >= believedShare * (share + matches.byChance);
+    const double matchRate = evidence.matchRate();
+    return !matches.parents.empty() && matchRate >= minimumPrecision * (matchRate + matches.expectedByChance);
 }
 
 // Samples a running request that lasts at least as long as the call, its route weighted by the evidence for making such
 // calls. Without evidence, samples uniformly from all running requests.
-TracedCall CallTracer::likelyParent(const Evidence& evidence, std::optional<Instant> callDeadline)
+TracedCall CallTracer::sampleParent(const Evidence& evidence, std::optional<Instant> callDeadline)
 {
     double total = 0;
-    for (const auto& [route, parents] : m_byRoute)
-        total += callsOf(evidence, route);
-    double drawn = m_random.unit() * total;
-    for (const auto& [route, parents] : m_byRoute) {
-        drawn -= callsOf(evidence, route);
-        if (total > 0 && drawn < 0)
-            return { drawLasting(parents, callDeadline), false, true };
+    for (const auto& [route, parents] : m_runningByRoute)
+        total += excessOf(evidence, route);
+    double point = m_random.unit() * total;
+    for (const auto& [route, parents] : m_runningByRoute) {
+        point -= excessOf(evidence, route);
+        if (total > 0 && point < 0)
+            return { sampleOutliving(parents, callDeadline), false, true };
     }
     return { m_running[m_random.below(m_running.size())], false, false };
 }
 
-const CallParent& CallTracer::drawLasting(
+const CallParent& CallTracer::sampleOutliving(
     std::span<const CallParent* const> parents, std::optional<Instant> callDeadline)
 {
     const auto earliest = callDeadline.value_or(Instant()) - deadlineRounding;
     const auto first = std::ranges::lower_bound(parents, earliest, {}, &CallParent::deadline);
-    const auto lasting = first == parents.end() ? parents : std::span(first, parents.end());
-    return *lasting[m_random.below(lasting.size())];
+    const auto outliving = first == parents.end() ? parents : std::span(first, parents.end());
+    return *outliving[m_random.below(outliving.size())];
 }
 
 // Estimated number of calls made by requests of the route, from matches in excess of chance.
-double CallTracer::callsOf(const Evidence& evidence, const RouteName& route)
+double CallTracer::excessOf(const Evidence& evidence, const RouteName& route)
 {
     const auto found = evidence.excess.find(route);
     return found == evidence.excess.end() ? 0 : std::max(0.0, found->second);
--- a/src/entry/CallTracer.h
+++ b/src/entry/CallTracer.h
@@ -20,7 +20,7 @@
 struct TracedCall {
     CallParent parent;
     /// Whether the parent was identified by its deadline rather than sampled.
-    bool known { false };
+    bool parentKnown { false };
     /// Whether there is evidence that requests of the parent's route make calls of this route.
     bool routeKnown { false };
 };
@@ -33,11 +33,11 @@
 public:
     CallTracer(Board&, const Clock&, RandomSource&);
 
-    /// \param called the route being called
+    /// \param calledRoute the route being called
     /// \param remaining time to the deadline that the call carries
     /// \param unread longest time that the call may have waited in the socket before it was read
     /// \return std::nullopt if no request is known to run at a co-located backend server
-    std::optional<TracedCall> trace(std::string_view called, std::optional<Duration> remaining, Duration unread);
+    std::optional<TracedCall> trace(std::string_view calledRoute, std::optional<Duration> remaining, Duration unread);
 
 private:
     /// Match statistics of one called route, with decay.
@@ -45,32 +45,32 @@
         double calls { 0 };
         /// Per parent route: matches minus those expected by chance, given the density of nearby deadlines.
         std::map<RouteName, double> excess;
-        double share() const;
+        double matchRate() const;
     };
     /// The running requests whose deadline matches the call's, nearest first, and the number of matches expected by
     /// chance, per route and in total.
     struct Matches {
         std::vector<const CallParent*> parents;
-        std::map<std::string_view, double> chanceByRoute;
-        double byChance { 0 };
+        std::map<std::string_view, double> expectedByRoute;
+        double expectedByChance { 0 };
     };
 
-    void readRunning(Duration period);
-    Matches matchesOf(Instant callDeadline, Duration unread) const;
+    void refreshRunning(Duration period);
+    Matches findMatches(Instant callDeadline, Duration unread) const;
     static void learn(Evidence&, const Matches&);
-    static bool isBelieved(const Evidence&, const Matches&);
-    TracedCall likelyParent(const Evidence&, std::optional<Instant> callDeadline);
-    const CallParent& drawLasting(std::span<const CallParent* const>, std::optional<Instant> callDeadline);
-    static double callsOf(const Evidence&, const RouteName&);
+    static bool isReliable(const Evidence&, const Matches&);
+    TracedCall sampleParent(const Evidence&, std::optional<Instant> callDeadline);
+    const CallParent& sampleOutliving(std::span<const CallParent* const>, std::optional<Instant> callDeadline);
+    static double excessOf(const Evidence&, const RouteName&);
 
     Board& m_board;
     const Clock& m_clock;
     RandomSource& m_random;
     std::mutex m_lock;
-    Instant m_readAt;
+    Instant m_refreshedAt;
     /// Sorted by deadline.
     std::vector<CallParent> m_running;
-    std::map<RouteName, std::vector<const CallParent*>> m_byRoute;
+    std::map<RouteName, std::vector<const CallParent*>> m_runningByRoute;
     std::unordered_map<RouteName, Evidence, NameHash, std::equal_to<>> m_evidence;
 };
 
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -11,30 +11,30 @@
     // Lag above which the node sheds new requests of the highest rank, how much lower that threshold is for the lowest
     // rank, and the range of lag over which shedding of a rank rises from none to all. The shortest target latency of
     // the supported deployments is 100 ms, and work for a caller that disconnects must stop within 0.5 s.
-    constexpr Duration refusedLag = milliseconds(300);
-    constexpr Duration lagOfRanks = milliseconds(200);
-    constexpr Duration lagSpan = milliseconds(150);
+    constexpr Duration sheddingLag = milliseconds(300);
+    constexpr Duration sheddingLagSpread = milliseconds(200);
+    constexpr Duration sheddingLagRamp = milliseconds(150);
 
-    // A request with less than this share of the longest timeout seen on its route is treated as a retry after a
-    // refusal: such retries come after a delay, while callers that retry at once have nearly all their time left.
-    constexpr double returningShare = 0.93;
+    // A request with less than this share of the longest timeout seen on its route is treated as a retry after
+    // a refusal: such retries come after a delay, while callers that retry at once have nearly all their time left.
+    constexpr double retryTimeoutShare = 0.93;
     // Decay of the longest timeout per request, so that it adapts when callers switch to shorter ones.
-    constexpr double longestDecay = 0.9998;
+    constexpr double longestTimeoutDecay = 0.9998;
     // Highest bits of the tree hash. A request with these bits cleared is among the last quarter of its rank to be
     // shed.
-    constexpr uint64_t quarterBits = uint64_t(3) << 62;
+    constexpr uint64_t lastQuarterMask = uint64_t(3) << 62;
 
     // Whether a new request is shed because of the node's lag. The lowest rank is shed first.
     bool isShedForLag(const RequestContext& context, Duration lag)
     {
-        const auto begins
-            = refusedLag - lagOfRanks * static_cast<int>(indexOf(context.rank)) / static_cast<int>(rankCount);
-        const auto share = double((lag - begins).count()) / double(lagSpan.count());
-        return unitOfHash(mixHash(context.treeHash, 1)) < share;
+        const auto rampStart
+            = sheddingLag - sheddingLagSpread * static_cast<int>(indexOf(context.rank)) / static_cast<int>(rankCount);
+        const auto shedShare = double((lag - rampStart).count()) / double(sheddingLagRamp.count());
+        return unitOfHash(mixHash(context.treeHash, 1)) < shedShare;
     }
 
     // Retry-After of requests that arrive before the first configuration, or while it is not confirmed.
-    constexpr Duration configurationRetry = seconds(2);
+    constexpr Duration configurationRetryAfter = seconds(2);
 
 } // namespace
 
@@ -66,39 +66,39 @@
     }
 
     // Whether the remaining time indicates that the request is a retry after a refusal.
-    bool isReturning(const Route& route, std::optional<Duration> remaining)
+    bool isRetryAfterRefusal(const Route& route, std::optional<Duration> remaining)
     {
         if (!remaining)
             return false;
-        return longest.update(route.name, [&](double& known) {
-            const auto given = static_cast<double>(remaining->count());
-            known = std::max(known * longestDecay, given);
-            return given < returningShare * known;
+        return longestTimeouts.update(route.name, [&](double& longestTimeout) {
+            const auto timeout = static_cast<double>(remaining->count());
+            longestTimeout = std::max(longestTimeout * longestTimeoutDecay, timeout);
+            return timeout < retryTimeoutShare * longestTimeout;
         });
     }
 
     // Lets a call without a parent id inherit from its inferred or sampled parent.
-    void adoptParent(EntryDecision& decision, const IncomingRequest& request)
+    void inheritFromParent(EntryDecision& decision, const IncomingRequest& request)
     {
         auto& context = decision.context;
         const auto call = tracer.trace(context.route, request.remaining, request.unread);
         if (!call)
             return;
-        board.counters().add(call->known ? Counter::CallsTraced : Counter::CallsUntraced);
+        board.counters().add(call->parentKnown ? Counter::CallsTraced : Counter::CallsUntraced);
         const auto& parent = call->parent;
-        context.parentKnown = call->known;
+        context.parentKnown = call->parentKnown;
         context.rank = parent.rank;
         context.represents = parent.represents;
         context.depth = parent.depth + 1;
         if (call->routeKnown)
             decision.parentRoute = parent.route;
-        if (call->known)
+        if (call->parentKnown)
             context.treeHash = parent.treeHash;
     }
 
     // The service for the next request of the route. Golden ratio steps spread requests evenly over the weights from
     // the first request on, for any number of weights.
-    ServiceName serviceOf(const Route& route)
+    ServiceName chooseService(const Route& route)
     {
         if (route.shares.empty())
             return route.service;
@@ -106,10 +106,10 @@
         for (const auto& share : route.shares)
             total += share.weight;
         constexpr double goldenRatio = 0.61803398874989485;
-        double place = turns.update(route.name, [&](double& turn) {
-            turn += goldenRatio;
-            turn -= turn >= 1;
-            return turn;
+        double place = rotations.update(route.name, [&](double& position) {
+            position += goldenRatio;
+            position -= position >= 1;
+            return position;
         }) * total;
         for (const auto& share : route.shares) {
             if (place < share.weight)
@@ -126,9 +126,9 @@
     Retry& retry;
     CallTracer tracer;
     /// Longest recent caller timeout per route in nanoseconds, with decay.
-    Sharded<RouteName, double> longest;
+    Sharded<RouteName, double> longestTimeouts;
     /// Current position of each route with several services in its weighted rotation, from 0 to 1.
-    Sharded<RouteName, double> turns;
+    Sharded<RouteName, double> rotations;
     const uint64_t sequenceSecret;
     std::atomic<uint64_t> sequence { 0 };
 };
@@ -157,10 +157,11 @@
     }
 
     // The account's importance overrides the route's. A caller can only lower them.
-    Rank rankOf(const Route& route, const ClientAccount* account, std::optional<Importance> wanted)
+    Rank rankOf(const Route& route, const ClientAccount* account, std::optional<Importance> requested)
     {
         const auto own = account ? account->importance.value_or(route.importance) : route.importance;
-        return { std::max(own, wanted.value_or(own)), std::max(route.importance, wanted.value_or(route.importance)) };
+        return { std::max(own, requested.value_or(own)),
+            std::max(route.importance, requested.value_or(route.importance)) };
     }
 
 } // namespace
@@ -172,14 +173,14 @@
     // 1. The configuration in force.
     const auto configuration = self.board.configuration().inForce();
     if (!configuration)
-        return self.refuse(Reason::NoConfiguration, configurationRetry);
+        return self.refuse(Reason::NoConfiguration, configurationRetryAfter);
 
     // 2. The route and the account. A key is only accepted while the configuration that lists it is fresh.
     const auto* route = configuration->route(request.host, request.method, request.path);
     if (!route)
         return self.refuse(Reason::NoRoute);
     if (!route->open && !self.freshness.mayServeKeyed())
-        return self.refuse(Reason::StaleConfiguration, configurationRetry);
+        return self.refuse(Reason::StaleConfiguration, configurationRetryAfter);
     EntryDecision decision;
     const ClientAccount* account = nullptr;
     decision.reason = authorize(*configuration, *route, request.key, account);
@@ -202,16 +203,16 @@
     auto& context = decision.context;
     context.attempt.request = self.nextId();
     context.route = route->name;
-    context.service = self.serviceOf(*route);
+    context.service = self.chooseService(*route);
     context.rank = rankOf(*route, account, request.importance);
     context.idempotent = route->idempotent;
     context.retriesLeft = std::min(route->retries, configuration->policy().retriesPerRequest);
     context.depth = 1;
     context.treeHash = std::hash<RequestId>()(context.attempt.request);
-    if (self.isReturning(*route, request.remaining))
-        context.treeHash &= ~quarterBits;
+    if (self.isRetryAfterRefusal(*route, request.remaining))
+        context.treeHash &= ~lastQuarterMask;
     if (route->open && !configuration->declarations().accounts.empty())
-        self.adoptParent(decision, request);
+        self.inheritFromParent(decision, request);
     if (self.board.refusesNewWork() && !(route->open && self.board.attempts().size()))
         decision.reason = Reason::Draining;
     else if (context.depth == 1 && isShedForLag(context, request.unread))
@@ -227,7 +228,7 @@
     auto& self = *m_state;
     const auto configuration = self.board.configuration().inForce();
     if (!configuration)
-        return self.refuse(Reason::NoConfiguration, configurationRetry);
+        return self.refuse(Reason::NoConfiguration, configurationRetryAfter);
 
     // 1. The parent, which must be running at a co-located backend server.
     EntryDecision decision;
@@ -268,7 +269,7 @@
     decision.retriesLent = self.retry.lendToChild(parent);
     context.attempt = { self.nextId(), 0 };
     context.route = route->name;
-    context.service = self.serviceOf(*route);
+    context.service = self.chooseService(*route);
     context.idempotent = route->idempotent;
     context.retriesLeft = std::min(decision.retriesLent, route->retries);
     context.depth += 1;
--- a/tests/EntryTests.cpp
+++ b/tests/EntryTests.cpp
@@ -97,20 +97,20 @@
 
 BOOST_FIXTURE_TEST_SUITE(GivenRoutesOfSeveralHosts, Story)
 
-BOOST_AUTO_TEST_CASE(ThenTheNamedHostGoesBeforeAnyHost)
+BOOST_AUTO_TEST_CASE(ThenANamedHostTakesPrecedenceOverAnyHost)
 {
     BOOST_TEST(decide("reports.example", "/reports/1", northKey).context.route == "read");
     BOOST_TEST(decide("other.example", "/reports/1", northKey).context.route == "anywhere");
     BOOST_TEST((decide("other.example", "/registry/1").reason == Reason::NoRoute));
 }
 
-BOOST_AUTO_TEST_CASE(ThenAnAccountsOwnImportanceGoesBeforeTheRoutes)
+BOOST_AUTO_TEST_CASE(ThenAnAccountsImportanceOverridesTheRoutes)
 {
     BOOST_TEST((decide("reports.example", "/reports/1", northKey).context.rank.account == Importance::Critical));
     BOOST_TEST((decide("reports.example", "/reports/1", "key-of-south").context.rank.account == Importance::Normal));
 }
 
-BOOST_AUTO_TEST_CASE(ThenRoutesOfLikeAccountsAreToldApartByTheirOwnImportance)
+BOOST_AUTO_TEST_CASE(ThenRouteImportanceOrdersAccountsOfEqualImportance)
 {
     auto declared = declarations();
     declared.accounts[1].importance = Importance::Critical;
@@ -124,7 +124,7 @@
     BOOST_TEST((rankOf("reports.example", "key-of-south") == rankOf("reports.example", northKey)));
 }
 
-BOOST_AUTO_TEST_CASE(ThenSharesAreKeptFromTheFirstRequestsOn)
+BOOST_AUTO_TEST_CASE(ThenWeightsAreHonoredFromTheFirstRequestsOn)
 {
     std::map<ServiceName, int> counts;
     for (int i = 0; i < 50; ++i)
@@ -133,9 +133,9 @@
     BOOST_TEST(counts["archive"] <= 6);
 }
 
-BOOST_AUTO_TEST_SUITE(WhenAnOpenRouteIsCalledBesideABackendServerThatWorks)
+BOOST_AUTO_TEST_SUITE(WhenAnOpenRouteIsCalledNextToABusyBackendServer)
 
-BOOST_AUTO_TEST_CASE(ThenTheCallHasTheWorthOfOneOfTheRunningRequests)
+BOOST_AUTO_TEST_CASE(ThenTheCallInheritsTheRankOfARunningRequest)
 {
     for (uint64_t i = 0; i < 30; ++i)
         run(i, i < 10 ? "sign" : "look-up", i < 10 ? Importance::Critical : Importance::Low);
@@ -150,7 +150,7 @@
     BOOST_TEST(counts[Importance::Critical] < 250);
 }
 
-BOOST_AUTO_TEST_CASE(ThenTheCallIsTracedToTheRequestThatLastsAsLong)
+BOOST_AUTO_TEST_CASE(ThenTheCallIsTracedToTheRequestWithTheSameDeadline)
 {
     for (uint64_t i = 0; i < 30; ++i)
         run(i, i < 29 ? "sign" : "upload", i < 29 ? Importance::Critical : Importance::Low, milliseconds(500 + 50 * i));
@@ -165,7 +165,7 @@
     BOOST_TEST(board.counters().value(Counter::CallsTraced) == 30u);
 }
 
-BOOST_AUTO_TEST_CASE(ThenACallThatLayUnreadIsTracedAllTheSame)
+BOOST_AUTO_TEST_CASE(ThenACallThatWasReadLateIsTraced)
 {
     run(1, "sign", Importance::Critical, milliseconds(600));
     run(2, "upload", Importance::Low, milliseconds(900));
@@ -177,7 +177,7 @@
     BOOST_TEST(decision.context.treeHash == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(ThenARouteIsNotTakenToNeedWhatItsNeighbourCalls)
+BOOST_AUTO_TEST_CASE(ThenCallsAreNotAttributedToAnotherRouteThatRuns)
 {
     run(1, "sign", Importance::Critical, milliseconds(600));
     run(2, "upload", Importance::Low, milliseconds(900));
@@ -191,7 +191,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ThenACallThatOnlySeemsToLastAsLongIsNotTraced)
+BOOST_AUTO_TEST_CASE(ThenAChanceDeadlineMatchIsNotTraced)
 {
     for (uint64_t i = 0; i < 400; ++i)
         run(i, "sign", Importance::High, milliseconds(700 + 2 * i));
@@ -205,7 +205,7 @@
     BOOST_TEST(traced(200) <= 20);
 }
 
-BOOST_AUTO_TEST_CASE(ThenACallIsNotTracedWhereLagLeavesSeveralThatItMayBelongTo)
+BOOST_AUTO_TEST_CASE(ThenACallIsNotTracedWhereLagLeavesSeveralCandidates)
 {
     for (uint64_t i = 0; i < 100; ++i)
         run(i, "sign", Importance::High, milliseconds(700 + 4 * i));
@@ -215,7 +215,7 @@
     BOOST_TEST(traced == 0);
 }
 
-BOOST_AUTO_TEST_CASE(ThenCallsThatMatchNobodyGoToThoseWhoseCallsMatchSometimes)
+BOOST_AUTO_TEST_CASE(ThenUnmatchedCallsAreAttributedToRoutesWithMatches)
 {
     for (uint64_t i = 0; i < 300; ++i)
         run(i, i % 2 ? "upload" : "sign", Importance::High, milliseconds(400 + 4 * i));
@@ -228,7 +228,7 @@
     BOOST_TEST(toUploads <= 75);
 }
 
-BOOST_AUTO_TEST_CASE(ThenARequestThatHasJustStartedIsFound)
+BOOST_AUTO_TEST_CASE(ThenARequestThatHasJustStartedIsMatched)
 {
     run(1, "sign", Importance::Critical, milliseconds(600));
     call(milliseconds(600));
@@ -237,7 +237,7 @@
     BOOST_TEST(call(milliseconds(900)).context.treeHash == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(ThenWorkThatHasEndedSoonCountsNoMore)
+BOOST_AUTO_TEST_CASE(ThenCompletedRequestsAreSoonIgnored)
 {
     run(1, "sign", Importance::Critical);
     BOOST_TEST(!decide("rides.example", "/registry/1").context.parentKnown);
@@ -250,7 +250,7 @@
     BOOST_TEST(decide("rides.example", "/registry/1").context.parentKnown);
 }
 
-BOOST_AUTO_TEST_CASE(ThenWithoutWorkItIsACallersRequest)
+BOOST_AUTO_TEST_CASE(ThenWithoutRunningRequestsItIsACallersRequest)
 {
     const auto decision = decide("rides.example", "/registry/1");
     BOOST_TEST(decision.context.parentKnown);
@@ -263,7 +263,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(GivenANodeThatLagsBehind, Story)
 
-BOOST_AUTO_TEST_CASE(ThenTheTimeThatARequestMayHaveWaitedIsNotGivenToABackendServer)
+BOOST_AUTO_TEST_CASE(ThenTheReadDelayIsDeductedFromTheRemainingTime)
 {
     IncomingRequest request { "reports.example", "GET", "/reports/1", northKey, seconds(2), {}, {}, milliseconds(90) };
     const auto decision = entry.decide(request);
@@ -290,7 +290,7 @@
     BOOST_TEST(refused(northKey, milliseconds(460)) == 400);
 }
 
-BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreServedOn)
+BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreStillServed)
 {
     run(1, "sign", Importance::Low);
     const IncomingRequest request { "rides.example", "GET", "/registry/1", {}, seconds(2), {}, {}, milliseconds(500) };
@@ -301,7 +301,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(GivenANodeThatRefusesNewWork, Story)
 
-BOOST_AUTO_TEST_CASE(ThenCallersAreToldThatTheirRequestHasNotRun)
+BOOST_AUTO_TEST_CASE(ThenCallersRequestsAreRefusedAsNotRun)
 {
     board.startRefusingNewWork();
     const auto decision = decide("reports.example", "/reports/1", northKey);
@@ -310,14 +310,14 @@
     BOOST_TEST((decide("rides.example", "/registry/1").reason == Reason::Draining));
 }
 
-BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreServedOn)
+BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreStillServed)
 {
     run(1, "read", Importance::Critical);
     board.startRefusingNewWork();
     BOOST_TEST((decide("rides.example", "/registry/1").reason == Reason::None));
 }
 
-BOOST_AUTO_TEST_CASE(ThenSoTheyAreWhereNoAccountsAreDeclared)
+BOOST_AUTO_TEST_CASE(ThenCallsAreStillServedWhereNoAccountsAreDeclared)
 {
     auto withoutAccounts = declarations();
     withoutAccounts.accounts.clear();
@@ -331,7 +331,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(GivenACallerThatWasRefused, Story)
 
-BOOST_AUTO_TEST_CASE(ThenItIsShedAfterOthersOfItsImportanceWhenItComesBack)
+BOOST_AUTO_TEST_CASE(ThenItsRetryIsShedAfterOthersOfItsImportance)
 {
     const auto rankOf = [&](Duration remaining) {
         const IncomingRequest request { "reports.example", "GET", "/reports/1", northKey, remaining, {}, {}, {} };
@@ -348,7 +348,7 @@
         BOOST_TEST(rankOf(milliseconds(4300)) >= 13.75);
 }
 
-BOOST_AUTO_TEST_CASE(ThenItIsAskedBackInTimeForItsTarget)
+BOOST_AUTO_TEST_CASE(ThenRetryAfterLeavesTimeForTheTargetLatency)
 {
     for (int i = 0; i < 100; ++i) {
         const auto wait = retry.retryWithin(milliseconds(1500));
