--- a/src/entry/CallTracer.cpp
+++ b/src/entry/CallTracer.cpp
@@ -34,7 +34,7 @@
 }
 
 std::optional<TracedCall> CallTracer::trace(
-    std::string_view calledRoute, std::optional<Duration> remaining, Duration unread)
+    std::string_view calledRoute, std::optional<Duration> remaining, Duration readDelay)
 {
     std::lock_guard guard(m_lock);
     auto found = m_evidence.find(calledRoute);
@@ -47,10 +47,10 @@
     std::optional<Instant> callDeadline;
     if (remaining && !m_running.empty()) {
         callDeadline = m_clock.now() + *remaining;
-        auto matches = findMatches(*callDeadline, unread);
+        auto matches = findMatches(*callDeadline, readDelay);
         if (matches.parents.empty() && evidence.matchRate() >= minimumRateForRefresh) {
             refreshRunning(refreshPeriodOnMiss);
-            matches = findMatches(*callDeadline, unread);
+            matches = findMatches(*callDeadline, readDelay);
         }
         learn(evidence, matches);
         if (isReliable(evidence, matches))
@@ -83,9 +83,9 @@
 }
 
 // Transit time and read delay make a call's deadline appear later than its parent's.
-CallTracer::Matches CallTracer::findMatches(Instant callDeadline, Duration unread) const
+CallTracer::Matches CallTracer::findMatches(Instant callDeadline, Duration readDelay) const
 {
-    const auto earliest = callDeadline - unread - callTransitTime;
+    const auto earliest = callDeadline - readDelay - callTransitTime;
     const auto latest = callDeadline + deadlineRounding;
     const auto between = [&](Instant from, Instant to) {
         const auto first = std::ranges::lower_bound(m_running, from, {}, &CallParent::deadline);
--- a/src/entry/CallTracer.h
+++ b/src/entry/CallTracer.h
@@ -35,9 +35,10 @@
 
     /// \param calledRoute the route being called
     /// \param remaining time to the deadline that the call carries
-    /// \param unread longest time that the call may have waited in the socket before it was read
+    /// \param readDelay longest time that the call may have waited in the socket before it was read
     /// \return std::nullopt if no request is known to run at a co-located backend server
-    std::optional<TracedCall> trace(std::string_view calledRoute, std::optional<Duration> remaining, Duration unread);
+    std::optional<TracedCall> trace(
+        std::string_view calledRoute, std::optional<Duration> remaining, Duration readDelay);
 
 private:
     /// Match statistics of one called route, with decay.
@@ -56,7 +57,7 @@
     };
 
     void refreshRunning(Duration period);
-    Matches findMatches(Instant callDeadline, Duration unread) const;
+    Matches findMatches(Instant callDeadline, Duration readDelay) const;
     static void learn(Evidence&, const Matches&);
     static bool isReliable(const Evidence&, const Matches&);
     TracedCall sampleParent(const Evidence&, std::optional<Instant> callDeadline);
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -81,7 +81,7 @@
     void inheritFromParent(EntryDecision& decision, const IncomingRequest& request)
     {
         auto& context = decision.context;
-        const auto call = tracer.trace(context.route, request.remaining, request.unread);
+        const auto call = tracer.trace(context.route, request.remaining, request.readDelay);
         if (!call)
             return;
         board.counters().add(call->parentKnown ? Counter::CallsTraced : Counter::CallsUntraced);
@@ -194,7 +194,7 @@
     // 3. The deadline.
     const auto now = self.clock.now();
     decision.context.remaining = std::min(route->timeout, request.remaining.value_or(route->timeout));
-    decision.context.remaining -= request.unread;
+    decision.context.remaining -= request.readDelay;
     decision.deadline = now + decision.context.remaining;
     if (decision.context.remaining <= Duration(0))
         return self.refuse(Reason::DeadlineExceeded);
@@ -215,7 +215,7 @@
         self.inheritFromParent(decision, request);
     if (self.board.refusesNewWork() && !(route->open && self.board.attempts().size()))
         decision.reason = Reason::Draining;
-    else if (context.depth == 1 && isShedForLag(context, request.unread))
+    else if (context.depth == 1 && isShedForLag(context, request.readDelay))
         decision.reason = Reason::NodeBusy;
     decision.configuration = configuration;
     decision.route = route;
--- a/src/entry/Entry.h
+++ b/src/entry/Entry.h
@@ -27,7 +27,7 @@
     std::optional<uint64_t> bodyBytes;
     /// Longest time that the request may have waited in the socket before it was read, from the lag of the event loop.
     /// It is deducted from a caller's remaining time, and indicates how overloaded the node's processor is.
-    Duration unread { 0 };
+    Duration readDelay { 0 };
 };
 
 /// The entry's decision: the context of an accepted request, or the reason for refusing it.
--- a/src/node/EntryRequest.cpp
+++ b/src/node/EntryRequest.cpp
@@ -80,7 +80,7 @@
     request.remaining = terms.remaining;
     request.importance = terms.importance;
     request.bodyBytes = head.contentLength;
-    request.unread = m_parts.loopLag.value();
+    request.readDelay = m_parts.loopLag.value();
     m_key = std::string(request.key.value_or(""));
     m_label = std::string(m_parts.dialect.labelIn(head.headers));
     m_idempotencyKey = std::string(head.header("Idempotency-Key"));
--- a/tests/EntryTests.cpp
+++ b/tests/EntryTests.cpp
@@ -51,7 +51,7 @@
     }
 
     EntryDecision decide(std::string_view host, std::string_view path, std::optional<std::string_view> key = {},
-        std::optional<Duration> remaining = {}, Duration unread = Duration(0))
+        std::optional<Duration> remaining = {}, Duration readDelay = Duration(0))
     {
         IncomingRequest request;
         request.host = host;
@@ -59,14 +59,14 @@
         request.path = path;
         request.key = key;
         request.remaining = remaining;
-        request.unread = unread;
+        request.readDelay = readDelay;
         return entry.decide(request);
     }
 
     // Makes a call from the co-located backend server with this remaining time.
-    EntryDecision call(Duration remaining, Duration unread = Duration(0))
+    EntryDecision call(Duration remaining, Duration readDelay = Duration(0))
     {
-        return decide("rides.example", "/registry/1", {}, remaining, unread);
+        return decide("rides.example", "/registry/1", {}, remaining, readDelay);
     }
 
     // Starts a request at the co-located backend server whose deadline is this far away.
