--- a/src/drain/Drain.cpp
+++ b/src/drain/Drain.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-    // How long a leaving node goes on as before. Leaving is known everywhere within 1.5 s at the design size
-    // (docs/design/membership.md), and two readiness checks, a second apart, have failed by then.
+    // How long a leaving node serves as before. All nodes know within 1.5 s at the design size that it is leaving
+    // (docs/design/membership.md), and two readiness checks, one second apart, have failed by the end of this time.
     constexpr Duration announcementTime = milliseconds(2500);
-    // How long the last messages have to leave.
+    // Minimum time for sending the last messages.
     constexpr Duration farewellTime = milliseconds(300);
 
     constexpr std::array<std::string_view, stopStepCount> stepNames { "node-draining", "node-refuses-new-work",
@@ -53,7 +53,7 @@
 
 bool Drain::isAnnounced(const OpenWork&) const { return m_clock.now() - m_stepBegan >= announcementTime; }
 
-// The backend server beside this node may need its calls for as long as it runs an attempt.
+// The co-located backend server may make calls through this node for as long as it runs an attempt.
 bool Drain::hasFinished(const OpenWork&) const { return !m_board.attempts().size() || isPastLimit(); }
 
 bool Drain::hasClosed(const OpenWork& open) const { return isAnswered(open) || isPastLimit(); }
--- a/src/drain/Drain.h
+++ b/src/drain/Drain.h
@@ -1,48 +1,50 @@
-/// How a planned stop goes on, from the signal to the end of the process. Decisions over the board only: whoever owns
-/// the sockets carries each step out.
+/// Graceful shutdown, from the signal to the exit of the process. Only decides, on the state of the board: the owner of
+/// the sockets carries out each step.
 ///
-/// A stop ends only when nothing can come in any more and all that came in is answered, or when its limit has passed.
+/// A stop completes only when no more requests can arrive and all received ones are answered, or when its limit has
+/// passed.
 #pragma once
 
 #include "board/Board.h"
 
 namespace Vanillaridge {
 
-/// What a stop is at, in the order of the steps.
+/// Steps of a stop, in order.
 enum class StopStep : uint8_t {
-    /// Everything goes on, while the others hear that this node leaves.
+    /// The node serves as before while the other nodes learn that it is leaving.
     Announcing,
-    /// New work is refused. Attempts run on, and so do the calls that their backend servers make through this node.
+    /// New work is refused. Running attempts continue, and so do the calls that their backend servers make through this
+    /// node.
     Finishing,
-    /// No request comes in any more; what came in is answered.
+    /// No more requests are accepted; those already received are answered.
     Closing,
-    /// The last messages to other nodes are on their way.
+    /// The last messages to other nodes are being sent.
     Leaving,
     Ended,
 };
 constexpr size_t stopStepCount = 5;
 std::string_view toText(StopStep);
 
-/// What the front ends and transports of a stopping node still have under way.
+/// Work in progress in the front ends and transports of a stopping node.
 struct OpenWork {
-    /// Connections over which a request of a caller may come, and those that carry any.
+    /// Connections on which a caller's request may arrive or is in progress.
     size_t connections { 0 };
-    /// Connections to other nodes with messages that are not written yet.
+    /// Connections to other nodes with unsent messages.
     size_t unsent { 0 };
 };
 
-/// Used by one thread.
+/// Not thread-safe: used by one thread.
 class Drain {
 public:
-    /// \param limit longest wait for running requests, after the announcement
+    /// \param limit maximum wait for running requests after the announcement
     Drain(Board&, const Clock&, Duration limit);
 
-    /// The stop begins.
+    /// Starts the stop and marks the node as draining on the board.
     void begin();
-    /// Goes on by at most one step and tells the present one, which the caller then carries out. To be called every few
-    /// ms once the stop has begun.
+    /// Advances by at most one step and returns the current one, which the caller then carries out. Call every few ms
+    /// after `begin`.
     StopStep next(const OpenWork&);
-    /// Whether the limit passed before all that came in was answered.
+    /// Whether the limit passed before all received requests were answered.
     bool limitReached() const { return m_limitReached; }
 
 private:
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -8,32 +8,32 @@
 
 namespace {
 
-    // Age of feedback from which on it counts no more; until then it fades evenly.
+    // Age at which feedback is ignored; its weight decreases linearly until then.
     constexpr Duration feedbackLife = seconds(1);
-    // Least weight of a new shed level, so that the servers of a service are averaged, and the time after which what
-    // was told before weighs little.
+    // EWMA of the reported shed levels: the minimum weight of a new report, so that the servers of a service are
+    // averaged, and the time constant after which earlier reports have little weight.
     constexpr double shedSmoothing = 0.5;
     constexpr Duration shedMemory = milliseconds(50);
-    // Requests that pass although they would be shed, for each that passes, to learn when that ends.
+    // Probes per passed request: requests that pass although they would be shed, to detect when shedding ends.
     constexpr double probeFraction = 0.01;
-    // Failures in a row that set a server aside, and for how long: doubled each time.
+    // Consecutive failures that set a server aside (outlier ejection), and for how long, with exponential backoff.
     constexpr uint32_t failuresToSetAside = 3;
     constexpr Duration firstSetAside = seconds(1);
     constexpr Duration longestSetAside = seconds(30);
     constexpr double setAsideJitter = 0.2;
-    // Share of a service's servers that always stay in use.
+    // Minimum fraction of a service's servers that stays in use.
     constexpr double usedFraction = 0.5;
-    // Load of a server in this zone from which on servers in other zones are looked at too, and what being in another
-    // zone counts for.
+    // Load of a server in this zone above which servers in other zones are considered too, and the load that is added
+    // to a server in another zone.
     constexpr double busyLoad = 0.8;
     constexpr double distanceLoad = 0.1;
-    // Share of its slots that a server is taken to have at the beginning of its slow start.
+    // Fraction of its slots that a server is assumed to have at the beginning of its slow start.
     constexpr double coldFraction = 0.2;
-    // Calls are counted with decay: the counts are halved at this many requests.
+    // Request and call counts decay: they are halved at this many requests.
     constexpr double requestsRemembered = 256;
 
-    // Whether an end speaks against the server itself. A request whose time ran out does so only when the server's node
-    // was silent about it: otherwise something further down may have been slow.
+    // Whether a completion counts as a failure of the server itself. A timeout does so only without feedback from the
+    // server's node: with feedback, a service further downstream may have been slow.
     bool isFailure(const CallEnd& end)
     {
         switch (end.reason) {
@@ -60,14 +60,14 @@
         return record;
     }
 
-    // When a server may be chosen again. One that was set aside is tried by one request at a time until it does well.
+    // When a server may be chosen again. After it was set aside, it gets one request at a time until one succeeds.
     Instant backAt(const ServerRecord& server, Instant now)
     {
         const bool onTrial = server.setAsides > 0 && server.outstanding > 0;
         return onTrial ? std::max(server.setAsideUntil, now + Duration(1)) : server.setAsideUntil;
     }
 
-    // Carries over what is known of servers that are still the same.
+    // Carries over the state of servers whose generation is unchanged.
     void keepKnown(ServerGroup& announced, const ServerGroup& known)
     {
         for (auto& [node, server] : announced) {
@@ -82,7 +82,7 @@
         }
     }
 
-    // The servers of one choice, with the group's lock held.
+    // A server that may be chosen; valid while the group's lock is held.
     struct Candidate {
         NodeId node;
         const ServerRecord* record;
@@ -101,7 +101,7 @@
     {
     }
 
-    // What a strategy decides. Rows in the order of PlacementStrategy.
+    // Selection function of each strategy, in the order of PlacementStrategy.
     using Pick = const Candidate* (State::*)(const Candidates&, Duration slowStart);
     static const std::array<Pick, 2> picks;
 
@@ -128,7 +128,7 @@
 
 const std::array<Placement::State::Pick, 2> Placement::State::picks { &State::pickOfTwo, &State::pickRandom };
 
-// Those not tried and not draining; of these, the ones not set aside, as long as they are enough.
+// Servers that are neither tried nor draining, without those set aside as long as enough servers remain.
 Candidates Placement::State::usable(const ServerGroup& group, std::span<const NodeId> tried) const
 {
     Candidates present;
@@ -140,7 +140,7 @@
     if (strategy == PlacementStrategy::PureRandom)
         return present;
 
-    // Those set aside longest from now on are left out first; a floor of servers stays in use.
+    // Excludes the servers that stay set aside longest first, and keeps a minimum number in use.
     const auto now = clock.now();
     std::sort(present.begin(), present.end(), [&](const Candidate& left, const Candidate& right) {
         return std::pair(backAt(*left.record, now), left.node) < std::pair(backAt(*right.record, now), right.node);
@@ -160,8 +160,8 @@
     return coldFraction + (1 - coldFraction) * share;
 }
 
-// Requests for each slot that the server can be expected to have: what it told, as far as that is fresh, or what is
-// on the way from here, whichever is more.
+// Requests per expected slot of the server: the greater of its reported load, weighted by freshness, and the requests
+// outstanding from this node.
 double Placement::State::load(const ServerRecord& server, Duration slowStart) const
 {
     const auto age = clock.now() - server.feedbackAt;
@@ -188,7 +188,7 @@
     return &candidates[firstLighter ? first : second];
 }
 
-// Two in this zone; if the better of them is busy, two elsewhere as well.
+// Power of two choices in this zone; if the better server is busy, also among the servers in other zones.
 const Candidate* Placement::State::pickOfTwo(const Candidates& candidates, Duration slowStart)
 {
     Candidates sorted(candidates);
@@ -214,7 +214,7 @@
     return declared ? declared->slowStart : Duration(0);
 }
 
-// Failures in a row set a server aside; its health endpoint is never asked.
+// Consecutive failures set a server aside; its health endpoint is never queried.
 void Placement::State::noteResult(ServerRecord& server, const CallEnd& end)
 {
     server.outstanding -= server.outstanding > 0;
@@ -240,18 +240,18 @@
     ++server.setAsides;
 }
 
-// What was told fades evenly between one life of feedback and two, so that requests return by and by when no answer
-// tells more.
+// A reported level decreases linearly to zero between one and two feedback lifetimes, so that requests are readmitted
+// gradually when no response brings a new level.
 double Placement::State::presentLevel(const ShedRecord& record) const
 {
     const double age = double((clock.now() - record.at).count()) / double(feedbackLife.count());
     return record.level * std::clamp(2 - age, 0.0, 1.0);
 }
 
-// Whether this request is shed, and how many it stands for if not.
+// Whether to shed this request. If it passes, sets how many requests it represents.
 bool Placement::State::isShed(ShedRecord& record, RequestContext& context)
 {
-    // 1. Those whose rank is high enough pass, and calls of requests that are not known.
+    // 1. Requests of sufficient rank pass, and so do calls whose parent request is unknown.
     if (!context.parentKnown)
         return false;
     const double level = presentLevel(record);
@@ -259,7 +259,7 @@
     if (survival >= 1)
         return false;
 
-    // 2. A few others pass as probes: in proportion to what passes, so that repeated requests do not make more.
+    // 2. A few others pass as probes, in proportion to the passed requests, so that retries do not add probes.
     const double ratio = record.passed / std::max(1.0, record.shed);
     const double probe = context.depth == 1 ? probeFraction * std::min(1.0, ratio) : 0;
     const bool isShed = sheddingHeight(context) < level && random.unit() >= probe;
@@ -269,14 +269,14 @@
         record.shed /= 2;
     }
 
-    // 3. What passes stands for what does not.
+    // 3. A passed request also represents the shed ones.
     if (!isShed)
         context.represents
             = std::max(context.represents, 1 / std::max(probeFraction, survival + (1 - survival) * probe));
     return isShed;
 }
 
-// Answers from several servers of one service are averaged; what is old no longer counts.
+// EWMA over the responses from all servers of a service; old reports lose their weight.
 void Placement::State::noteShedLevel(const CallEnd& end)
 {
     const double told = end.feedback->shedLevel;
@@ -320,7 +320,7 @@
 
 void Placement::refresh()
 {
-    // 1. What is announced now.
+    // 1. Collect the current announcements.
     std::map<ServiceName, ServerGroup> announced;
     const auto now = m_state->clock.now();
     m_state->board.members().forEach([&](const NodeId& node, MemberRecord& member) {
@@ -331,7 +331,7 @@
         }
     });
 
-    // 2. What is known of servers that stay the same goes on; the rest vanishes.
+    // 2. Keep the state of unchanged servers; remove the rest.
     m_state->board.servers().eraseIf(
         [&](const ServiceName& service, const ServerGroup&) { return !announced.contains(service); });
     for (auto& entry : announced) {
@@ -380,7 +380,7 @@
         m_state->noteCall(end);
 }
 
-// The same requests are shed here that the servers further down would shed, so that no work is done for them.
+// Sheds the same requests that the downstream servers would shed, so that no work is done for them.
 bool Placement::shedAtEntry(RequestContext& context)
 {
     if (m_state->shedding == EdgeShedding::Off)
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -1,6 +1,6 @@
-/// Placement at entry: which backend server gets a request, and which requests are shed before they are sent.
+/// Placement at entry: selects the backend server for a request, and sheds requests before they are sent.
 ///
-/// Reads and writes the board's servers and shed records. All functions may be called from several threads at once.
+/// Reads and writes the board's servers and shed records. All functions are thread-safe.
 #pragma once
 
 #include "board/Board.h"
@@ -13,24 +13,25 @@
     Endpoint endpoint;
 };
 
-/// How a call to a chosen backend server ended.
+/// How a call to a chosen backend server completed.
 struct CallEnd {
     /// The call's own context.
     const RequestContext& context;
     /// Route of the request whose backend server made this call; empty for a caller's request.
     std::string_view parentRoute;
-    /// None when an answer came.
+    /// None when a response arrived.
     Reason reason { Reason::None };
-    /// What the other side told of its load, if it told anything.
+    /// Load that the other side reported, if any.
     const LoadFeedback* feedback { nullptr };
-    /// From sending until the end.
+    /// Time from sending to completion.
     Duration latency { 0 };
 };
 
-/// Ways to choose a backend server. TwoChoices is the product's; PureRandom is a baseline for measurement.
+/// How a backend server is chosen. TwoChoices (power of two choices) is used in production; PureRandom is a baseline
+/// for measurement.
 enum class PlacementStrategy : uint8_t { TwoChoices, PureRandom };
 
-/// Whether requests are shed at entry for load further down. Off is a baseline for measurement.
+/// Whether requests are shed at entry because of downstream load. Off is a baseline for measurement.
 enum class EdgeShedding : uint8_t { On, Off };
 
 class Placement {
@@ -39,19 +40,20 @@
         EdgeShedding = EdgeShedding::On);
     ~Placement();
 
-    /// Rebuilds board.servers() from board.members(): what alive members announced, keeping what is known of each
-    /// server. Members that left or died, and announcements withdrawn, vanish at once. To be called after each change
-    /// of membership or of the backend servers beside this node.
+    /// Rebuilds board.servers() from the announcements of the alive members in board.members(), and keeps the state of
+    /// each server that is still announced. Servers of members that left or died, and withdrawn announcements, are
+    /// removed at once. Call after each change of membership or of the backend servers co-located with this node.
     void refresh();
 
-    /// A backend server of the service that is not among those tried; nothing when there is none.
+    /// A backend server of the service that is not in `tried`; nullopt when there is none.
     std::optional<PlacementChoice> choose(std::string_view service, std::span<const NodeId> tried);
-    /// A request is on its way to the chosen server; `ended` must follow exactly once.
+    /// Counts a request as outstanding at the chosen server. `ended` must follow exactly once.
     void began(const PlacementChoice&);
+    /// Records the completion of a call, and the load and shed level that it reported.
     void ended(const PlacementChoice&, const CallEnd&);
 
-    /// Whether the request would be shed further down, and so should be refused here as ShedAtEntry. When it is kept,
-    /// its context is told how many requests like it this one stands for.
+    /// Whether the request would be shed downstream, and so should be refused here as ShedAtEntry. Otherwise sets in
+    /// its context how many similar requests it represents.
     bool shedAtEntry(RequestContext&);
 
 private:
--- a/tests/DrainTests.cpp
+++ b/tests/DrainTests.cpp
@@ -11,7 +11,7 @@
 constexpr Duration announcement = milliseconds(2500);
 constexpr Duration look = milliseconds(20);
 
-// A node that has been asked to stop, with a request or an attempt on its board where a story needs one.
+// A node that was asked to stop; tests add requests and attempts to its board.
 struct StoppingNode {
     StoppingNode() { drain.begin(); }
 
@@ -21,7 +21,7 @@
         return drain.next(open);
     }
 
-    // Looks again and again until the step changes or the time is over.
+    // Checks at a fixed interval until the step changes or the time has passed.
     StopStep lookFor(Duration time)
     {
         const auto before = drain.next(open);
--- a/tests/PlacementTests.cpp
+++ b/tests/PlacementTests.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration slowStart = seconds(10);
 
-// A node in zone-a, and servers of one service in as many zones as the test asks for.
+// A node in zone-0, and servers of one service in the given number of zones.
 struct Entry {
     explicit Entry(uint32_t servers = 4, uint32_t zones = 1, EdgeShedding shedding = EdgeShedding::On,
         PlacementStrategy strategy = PlacementStrategy::TwoChoices)
@@ -45,7 +45,7 @@
         placement.refresh();
     }
 
-    // Sends one request and ends it at once.
+    // Sends one request and completes it at once.
     std::optional<NodeId> send(Reason (*answer)(NodeId))
     {
         const auto choice = placement.choose("history", {});
@@ -58,7 +58,7 @@
         return choice->server.node;
     }
 
-    // How many of the next requests each server gets.
+    // Number of the next requests that each server gets.
     std::map<NodeId, int> spread(int requests, Reason (*answer)(NodeId))
     {
         std::map<NodeId, int> counts;
@@ -69,7 +69,7 @@
         return counts;
     }
 
-    // An answer to a request of this kind tells a shed level.
+    // Completes a request whose response reports a shed level.
     void tell(double level)
     {
         const auto choice = placement.choose("history", {});
@@ -78,7 +78,7 @@
         placement.ended(*choice, { context, {}, Reason::None, &feedback, {} });
     }
 
-    // Share of requests of an importance that are shed here.
+    // Fraction of the requests of an importance that are shed at entry.
     double shedShare(Importance importance)
     {
         constexpr int requests = 2000;
