--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -9,28 +9,28 @@
 namespace {
 
     // Age at which feedback is ignored; its weight decreases linearly until then.
-    constexpr Duration feedbackLife = seconds(1);
+    constexpr Duration feedbackLifetime = seconds(1);
     // EWMA of the reported shed levels: the minimum weight of a new report, so that the servers of a service are
     // averaged, and the time constant after which earlier reports have little weight.
-    constexpr double shedSmoothing = 0.5;
-    constexpr Duration shedMemory = milliseconds(50);
+    constexpr double minShedLevelWeight = 0.5;
+    constexpr Duration shedLevelTimeConstant = milliseconds(50);
     // Probes per passed request: requests that pass although they would be shed, to detect when shedding ends.
     constexpr double probeFraction = 0.01;
     // Consecutive failures that set a server aside (outlier ejection), and for how long, with exponential backoff.
     constexpr uint32_t failuresToSetAside = 3;
-    constexpr Duration firstSetAside = seconds(1);
-    constexpr Duration longestSetAside = seconds(30);
+    constexpr Duration initialSetAsideTime = seconds(1);
+    constexpr Duration maxSetAsideTime = seconds(30);
     constexpr double setAsideJitter = 0.2;
     // Minimum fraction of a service's servers that stays in use.
-    constexpr double usedFraction = 0.5;
+    constexpr double minFractionInUse = 0.5;
     // Load of a server in this zone above which servers in other zones are considered too, and the load that is added
     // to a server in another zone.
-    constexpr double busyLoad = 0.8;
-    constexpr double distanceLoad = 0.1;
+    constexpr double crossZoneLoadThreshold = 0.8;
+    constexpr double crossZoneLoadPenalty = 0.1;
     // Fraction of its slots that a server is assumed to have at the beginning of its slow start.
-    constexpr double coldFraction = 0.2;
+    constexpr double slowStartInitialFraction = 0.2;
     // Request and call counts decay: they are halved at this many requests.
-    constexpr double requestsRemembered = 256;
+    constexpr double countsDecayThreshold = 256;
 
     // Whether a completion counts as a failure of the server itself. A timeout does so only without feedback from the
     // server's node: with feedback, a service further downstream may have been slow.
@@ -61,14 +61,14 @@
     }
 
     // When a server may be chosen again. After it was set aside, it gets one request at a time until one succeeds.
-    Instant backAt(const ServerRecord& server, Instant now)
+    Instant eligibleAt(const ServerRecord& server, Instant now)
     {
         const bool onTrial = server.setAsides > 0 && server.outstanding > 0;
         return onTrial ? std::max(server.setAsideUntil, now + Duration(1)) : server.setAsideUntil;
     }
 
     // Carries over the state of servers whose generation is unchanged.
-    void keepKnown(ServerGroup& announced, const ServerGroup& known)
+    void carryOverState(ServerGroup& announced, const ServerGroup& known)
     {
         for (auto& [node, server] : announced) {
             const auto found = known.find(node);
@@ -106,17 +106,17 @@
     static const std::array<Pick, 2> picks;
 
     const Candidate* pickRandom(const Candidates&, Duration slowStart);
-    const Candidate* pickOfTwo(const Candidates&, Duration slowStart);
-    const Candidate* lighterOfTwo(std::span<const Candidate>, Duration slowStart);
+    const Candidate* pickTwoChoices(const Candidates&, Duration slowStart);
+    const Candidate* lessLoadedOfTwo(std::span<const Candidate>, Duration slowStart);
 
     double load(const ServerRecord&, Duration slowStart) const;
-    double ramp(const ServerRecord&, Duration slowStart) const;
-    Candidates usable(const ServerGroup&, std::span<const NodeId> tried) const;
-    void noteResult(ServerRecord&, const CallEnd&);
-    void noteShedLevel(const CallEnd&);
-    void noteCall(const CallEnd&);
-    double presentLevel(const ShedRecord&) const;
-    bool isShed(ShedRecord&, RequestContext&);
+    double slowStartFactor(const ServerRecord&, Duration slowStart) const;
+    Candidates eligibleServers(const ServerGroup&, std::span<const NodeId> tried) const;
+    void recordResult(ServerRecord&, const CallEnd&);
+    void updateShedLevel(const CallEnd&);
+    void countCall(const CallEnd&);
+    double decayedShedLevel(const ShedRecord&) const;
+    bool shouldShed(ShedRecord&, RequestContext&);
     Duration slowStartOf(std::string_view service) const;
 
     Board& board;
@@ -126,10 +126,10 @@
     const EdgeShedding shedding;
 };
 
-const std::array<Placement::State::Pick, 2> Placement::State::picks { &State::pickOfTwo, &State::pickRandom };
+const std::array<Placement::State::Pick, 2> Placement::State::picks { &State::pickTwoChoices, &State::pickRandom };
 
 // Servers that are neither tried nor draining, without those set aside as long as enough servers remain.
-Candidates Placement::State::usable(const ServerGroup& group, std::span<const NodeId> tried) const
+Candidates Placement::State::eligibleServers(const ServerGroup& group, std::span<const NodeId> tried) const
 {
     Candidates present;
     for (const auto& [node, server] : group) {
@@ -143,21 +143,22 @@
     // Excludes the servers that stay set aside longest first, and keeps a minimum number in use.
     const auto now = clock.now();
     std::sort(present.begin(), present.end(), [&](const Candidate& left, const Candidate& right) {
-        return std::pair(backAt(*left.record, now), left.node) < std::pair(backAt(*right.record, now), right.node);
+        return std::pair(eligibleAt(*left.record, now), left.node)
+            < std::pair(eligibleAt(*right.record, now), right.node);
     });
-    const auto floor = static_cast<size_t>(std::ceil(usedFraction * double(present.size())));
-    while (present.size() > floor && backAt(*present.back().record, now) > now)
+    const auto floor = static_cast<size_t>(std::ceil(minFractionInUse * double(present.size())));
+    while (present.size() > floor && eligibleAt(*present.back().record, now) > now)
         present.pop_back();
     return present;
 }
 
-double Placement::State::ramp(const ServerRecord& server, Duration slowStart) const
+double Placement::State::slowStartFactor(const ServerRecord& server, Duration slowStart) const
 {
     const auto age = clock.now() - server.knownSince;
     if (slowStart <= Duration(0) || age >= slowStart)
         return 1;
     const double share = static_cast<double>(age.count()) / static_cast<double>(slowStart.count());
-    return coldFraction + (1 - coldFraction) * share;
+    return slowStartInitialFraction + (1 - slowStartInitialFraction) * share;
 }
 
 // Requests per expected slot of the server: the greater of its reported load, weighted by freshness, and the requests
@@ -165,11 +166,11 @@
 double Placement::State::load(const ServerRecord& server, Duration slowStart) const
 {
     const auto age = clock.now() - server.feedbackAt;
-    const double freshness = std::max(0.0, 1 - double(age.count()) / double(feedbackLife.count()));
-    const double told = freshness * double(server.feedback.running + server.feedback.waiting);
+    const double freshness = std::max(0.0, 1 - double(age.count()) / double(feedbackLifetime.count()));
+    const double reported = freshness * double(server.feedback.running + server.feedback.waiting);
     const double limit = freshness > 0 ? server.feedback.limit : server.announcement.slots;
-    const double slots = std::max(1.0, limit * (freshness > 0 ? 1 : ramp(server, slowStart)));
-    return (std::max(told, double(server.outstanding)) + 1) / slots;
+    const double slots = std::max(1.0, limit * (freshness > 0 ? 1 : slowStartFactor(server, slowStart)));
+    return (std::max(reported, double(server.outstanding)) + 1) / slots;
 }
 
 const Candidate* Placement::State::pickRandom(const Candidates& candidates, Duration)
@@ -177,30 +178,31 @@
     return &candidates[random.below(candidates.size())];
 }
 
-const Candidate* Placement::State::lighterOfTwo(std::span<const Candidate> candidates, Duration slowStart)
+const Candidate* Placement::State::lessLoadedOfTwo(std::span<const Candidate> candidates, Duration slowStart)
 {
     const auto first = random.below(candidates.size());
     if (candidates.size() == 1)
         return &candidates[first];
     auto second = random.below(candidates.size() - 1);
     second += second >= first;
-    const bool firstLighter = load(*candidates[first].record, slowStart) <= load(*candidates[second].record, slowStart);
-    return &candidates[firstLighter ? first : second];
+    const bool isFirstLessLoaded
+        = load(*candidates[first].record, slowStart) <= load(*candidates[second].record, slowStart);
+    return &candidates[isFirstLessLoaded ? first : second];
 }
 
 // Power of two choices in this zone; if the better server is busy, also among the servers in other zones.
-const Candidate* Placement::State::pickOfTwo(const Candidates& candidates, Duration slowStart)
+const Candidate* Placement::State::pickTwoChoices(const Candidates& candidates, Duration slowStart)
 {
     Candidates sorted(candidates);
     const auto& zone = board.self().zone;
     const auto elsewhere = std::partition(
         sorted.begin(), sorted.end(), [&](const Candidate& entry) { return entry.record->zone == zone; });
-    const std::span near(sorted.begin(), elsewhere);
-    const std::span far(elsewhere, sorted.end());
-    const auto* best = near.empty() ? nullptr : lighterOfTwo(near, slowStart);
-    if (!far.empty() && (!best || load(*best->record, slowStart) > busyLoad)) {
-        const auto* other = lighterOfTwo(far, slowStart);
-        if (!best || load(*other->record, slowStart) + distanceLoad < load(*best->record, slowStart))
+    const std::span sameZone(sorted.begin(), elsewhere);
+    const std::span otherZones(elsewhere, sorted.end());
+    const auto* best = sameZone.empty() ? nullptr : lessLoadedOfTwo(sameZone, slowStart);
+    if (!otherZones.empty() && (!best || load(*best->record, slowStart) > crossZoneLoadThreshold)) {
+        const auto* other = lessLoadedOfTwo(otherZones, slowStart);
+        if (!best || load(*other->record, slowStart) + crossZoneLoadPenalty < load(*best->record, slowStart))
             best = other;
     }
     return &*std::find_if(
@@ -215,7 +217,7 @@
 }
 
 // Consecutive failures set a server aside; its health endpoint is never queried.
-void Placement::State::noteResult(ServerRecord& server, const CallEnd& end)
+void Placement::State::recordResult(ServerRecord& server, const CallEnd& end)
 {
     server.outstanding -= server.outstanding > 0;
     const auto now = clock.now();
@@ -235,26 +237,26 @@
     server.failures = failuresToSetAside - 1;
     if (server.setAsideUntil > now)
         return;
-    const auto doubled = firstSetAside * (uint64_t(1) << std::min(server.setAsides, 5U));
-    server.setAsideUntil = now + random.jittered(std::min<Duration>(doubled, longestSetAside), setAsideJitter);
+    const auto doubled = initialSetAsideTime * (uint64_t(1) << std::min(server.setAsides, 5U));
+    server.setAsideUntil = now + random.jittered(std::min<Duration>(doubled, maxSetAsideTime), setAsideJitter);
     ++server.setAsides;
 }
 
 // A reported level decreases linearly to zero between one and two feedback lifetimes, so that requests are readmitted
 // gradually when no response brings a new level.
-double Placement::State::presentLevel(const ShedRecord& record) const
+double Placement::State::decayedShedLevel(const ShedRecord& record) const
 {
-    const double age = double((clock.now() - record.at).count()) / double(feedbackLife.count());
+    const double age = double((clock.now() - record.at).count()) / double(feedbackLifetime.count());
     return record.level * std::clamp(2 - age, 0.0, 1.0);
 }
 
 // Whether to shed this request. If it passes, sets how many requests it represents.
-bool Placement::State::isShed(ShedRecord& record, RequestContext& context)
+bool Placement::State::shouldShed(ShedRecord& record, RequestContext& context)
 {
     // 1. Requests of sufficient rank pass, and so do calls whose parent request is unknown.
     if (!context.parentKnown)
         return false;
-    const double level = presentLevel(record);
+    const double level = decayedShedLevel(record);
     const double survival = survivalAt(context.rank, context.depth, level);
     if (survival >= 1)
         return false;
@@ -264,7 +266,7 @@
     const double probe = context.depth == 1 ? probeFraction * std::min(1.0, ratio) : 0;
     const bool isShed = sheddingHeight(context) < level && random.unit() >= probe;
     (isShed ? record.shed : record.passed) += 1;
-    if (record.passed + record.shed > requestsRemembered) {
+    if (record.passed + record.shed > countsDecayThreshold) {
         record.passed /= 2;
         record.shed /= 2;
     }
@@ -277,32 +279,32 @@
 }
 
 // EWMA over the responses from all servers of a service; old reports lose their weight.
-void Placement::State::noteShedLevel(const CallEnd& end)
+void Placement::State::updateShedLevel(const CallEnd& end)
 {
-    const double told = end.feedback->shedLevel;
+    const double reported = end.feedback->shedLevel;
     const auto now = clock.now();
     const FlowKey flow { end.context.route, end.context.account };
     board.shedRecords().with(flow, [&](auto& records) {
         auto found = records.find(flow);
         if (found == records.end()) {
-            if (told > 0)
-                records.emplace(flow, ShedRecord { told, now, 0, 0 });
+            if (reported > 0)
+                records.emplace(flow, ShedRecord { reported, now, 0, 0 });
             return;
         }
         auto& record = found->second;
-        const double aged = 1 - std::exp(-double((now - record.at).count()) / double(shedMemory.count()));
-        record.level += std::max(shedSmoothing, aged) * (told - record.level);
+        const double aged = 1 - std::exp(-double((now - record.at).count()) / double(shedLevelTimeConstant.count()));
+        record.level += std::max(minShedLevelWeight, aged) * (reported - record.level);
         record.at = now;
-        if (told <= 0 && record.level < 1e-3)
+        if (reported <= 0 && record.level < 1e-3)
             records.erase(found);
     });
 }
 
-void Placement::State::noteCall(const CallEnd& end)
+void Placement::State::countCall(const CallEnd& end)
 {
     board.routeCalls().update(RouteName(end.parentRoute), [&](RouteCallsRecord& record) {
         record.calls[end.context.route] += 1;
-        if (record.requests < requestsRemembered)
+        if (record.requests < countsDecayThreshold)
             return;
         record.requests /= 2;
         for (auto& [route, count] : record.calls)
@@ -337,7 +339,7 @@
     for (auto& entry : announced) {
         auto& group = entry.second;
         m_state->board.servers().update(entry.first, [&](ServerGroup& known) {
-            keepKnown(group, known);
+            carryOverState(group, known);
             known = std::move(group);
         });
     }
@@ -348,7 +350,7 @@
     const auto slowStart = m_state->slowStartOf(service);
     std::optional<PlacementChoice> choice;
     m_state->board.servers().visit(ServiceName(service), [&](ServerGroup& group) {
-        const auto candidates = m_state->usable(group, tried);
+        const auto candidates = m_state->eligibleServers(group, tried);
         if (candidates.empty())
             return;
         const auto pick = State::picks[static_cast<size_t>(m_state->strategy)];
@@ -372,12 +374,12 @@
     m_state->board.servers().visit(choice.server.service, [&](ServerGroup& group) {
         const auto found = group.find(choice.server.node);
         if (found != group.end())
-            m_state->noteResult(found->second, end);
+            m_state->recordResult(found->second, end);
     });
     if (end.feedback)
-        m_state->noteShedLevel(end);
+        m_state->updateShedLevel(end);
     if (!end.parentRoute.empty())
-        m_state->noteCall(end);
+        m_state->countCall(end);
 }
 
 // Sheds the same requests that the downstream servers would shed, so that no work is done for them.
@@ -387,7 +389,7 @@
         return false;
     bool isShed = false;
     m_state->board.shedRecords().visit(
-        { context.route, context.account }, [&](ShedRecord& record) { isShed = m_state->isShed(record, context); });
+        { context.route, context.account }, [&](ShedRecord& record) { isShed = m_state->shouldShed(record, context); });
     return isShed;
 }
 
--- a/tests/PlacementTests.cpp
+++ b/tests/PlacementTests.cpp
@@ -39,7 +39,7 @@
         });
     }
 
-    void become(uint32_t index, MemberState state)
+    void setState(uint32_t index, MemberState state)
     {
         board.members().update(node(index), [&](MemberRecord& member) { member.said.state = state; });
         placement.refresh();
@@ -59,7 +59,7 @@
     }
 
     // Number of the next requests that each server gets.
-    std::map<NodeId, int> spread(int requests, Reason (*answer)(NodeId))
+    std::map<NodeId, int> sendAndCount(int requests, Reason (*answer)(NodeId))
     {
         std::map<NodeId, int> counts;
         for (int i = 0; i < requests; ++i) {
@@ -70,7 +70,7 @@
     }
 
     // Completes a request whose response reports a shed level.
-    void tell(double level)
+    void reportShedLevel(double level)
     {
         const auto choice = placement.choose("history", {});
         placement.began(*choice);
@@ -79,7 +79,7 @@
     }
 
     // Fraction of the requests of an importance that are shed at entry.
-    double shedShare(Importance importance)
+    double shedFraction(Importance importance)
     {
         constexpr int requests = 2000;
         int shed = 0;
@@ -99,9 +99,9 @@
     RequestContext context { {}, "owner", "look-up", "history" };
 };
 
-Reason allWell(NodeId) { return Reason::None; }
-Reason allLost(NodeId) { return Reason::PeerUnreachable; }
-Reason firstLost(NodeId node) { return node == Entry::node(0) ? Reason::ConnectionLost : Reason::None; }
+Reason alwaysSucceeds(NodeId) { return Reason::None; }
+Reason alwaysUnreachable(NodeId) { return Reason::PeerUnreachable; }
+Reason firstServerFails(NodeId node) { return node == Entry::node(0) ? Reason::ConnectionLost : Reason::None; }
 
 } // namespace
 
@@ -113,8 +113,8 @@
 {
     for (const auto state : { MemberState::Left, MemberState::Dead, MemberState::Suspect }) {
         Entry entry;
-        entry.become(2, state);
-        BOOST_TEST(!entry.spread(400, allWell).contains(Entry::node(2)));
+        entry.setState(2, state);
+        BOOST_TEST(!entry.sendAndCount(400, alwaysSucceeds).contains(Entry::node(2)));
     }
 }
 
@@ -123,15 +123,15 @@
     Entry entry;
     entry.announce(1, "zone-0", 1, true);
     entry.placement.refresh();
-    BOOST_TEST(!entry.spread(400, allWell).contains(Entry::node(1)));
+    BOOST_TEST(!entry.sendAndCount(400, alwaysSucceeds).contains(Entry::node(1)));
 }
 
-BOOST_AUTO_TEST_CASE(ThenWhatIsKnownOfTheOthersStays)
+BOOST_AUTO_TEST_CASE(ThenTheStateOfTheOthersIsKept)
 {
     Entry entry;
     const auto choice = entry.placement.choose("history", {});
     entry.placement.began(*choice);
-    entry.become(choice->server.node == Entry::node(0) ? 1 : 0, MemberState::Left);
+    entry.setState(choice->server.node == Entry::node(0) ? 1 : 0, MemberState::Left);
     uint32_t outstanding = 0;
     entry.board.servers().visit("history", [&](ServerGroup& group) {
         outstanding = group.at(choice->server.node).outstanding;
@@ -140,10 +140,10 @@
     BOOST_TEST(outstanding == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(ThenTheLastOneLeavesNothing)
+BOOST_AUTO_TEST_CASE(ThenNoneIsChosenAfterTheLastOneLeft)
 {
     Entry entry(1);
-    entry.become(0, MemberState::Left);
+    entry.setState(0, MemberState::Left);
     BOOST_TEST(!entry.placement.choose("history", {}));
 }
 
@@ -177,7 +177,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ThenOthersHelpWhenItIsBusy)
+BOOST_AUTO_TEST_CASE(ThenOtherZonesGetRequestsWhenItIsBusy)
 {
     Entry entry(8, 4);
     std::map<NodeId, int> counts;
@@ -197,16 +197,16 @@
 BOOST_AUTO_TEST_CASE(ThenItIsSetAsideAndTriedAgainLater)
 {
     Entry entry;
-    entry.spread(100, firstLost);
-    BOOST_TEST(!entry.spread(100, firstLost).contains(Entry::node(0)));
+    entry.sendAndCount(100, firstServerFails);
+    BOOST_TEST(!entry.sendAndCount(100, firstServerFails).contains(Entry::node(0)));
     entry.clock.advance(seconds(2));
-    BOOST_TEST(entry.spread(100, firstLost)[Entry::node(0)] == 1);
+    BOOST_TEST(entry.sendAndCount(100, firstServerFails)[Entry::node(0)] == 1);
 }
 
 BOOST_AUTO_TEST_CASE(ThenOneRequestAtATimeTriesItAgain)
 {
     Entry entry;
-    entry.spread(100, firstLost);
+    entry.sendAndCount(100, firstServerFails);
     entry.clock.advance(seconds(2));
     int trials = 0;
     for (int i = 0; i < 100; ++i) {
@@ -222,23 +222,23 @@
     BOOST_TEST(rc::check("floor of servers in use", [] {
         const auto servers = *rc::gen::inRange(1U, 12U);
         Entry entry(servers);
-        entry.spread(200, allLost);
-        RC_ASSERT(entry.spread(400, allLost).size() >= (servers + 1) / 2);
+        entry.sendAndCount(200, alwaysUnreachable);
+        RC_ASSERT(entry.sendAndCount(400, alwaysUnreachable).size() >= (servers + 1) / 2);
     }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenAnswersTellAShedLevel)
+BOOST_AUTO_TEST_SUITE(WhenResponsesReportAShedLevel)
 
 BOOST_AUTO_TEST_CASE(ThenThoseLessImportantAreShedHere)
 {
     Entry entry;
-    entry.tell(rankCount - 0.5 - double(indexOf(Rank::of(Importance::Normal))));
-    BOOST_TEST(entry.shedShare(Importance::Critical) == 0);
-    BOOST_TEST(entry.shedShare(Importance::High) == 0);
-    BOOST_TEST(std::abs(entry.shedShare(Importance::Normal) - 0.5) < 0.05);
-    BOOST_TEST(entry.shedShare(Importance::Low) > 0.98);
+    entry.reportShedLevel(rankCount - 0.5 - double(indexOf(Rank::of(Importance::Normal))));
+    BOOST_TEST(entry.shedFraction(Importance::Critical) == 0);
+    BOOST_TEST(entry.shedFraction(Importance::High) == 0);
+    BOOST_TEST(std::abs(entry.shedFraction(Importance::Normal) - 0.5) < 0.05);
+    BOOST_TEST(entry.shedFraction(Importance::Low) > 0.98);
 }
 
 BOOST_AUTO_TEST_CASE(ThenTheSameRequestsSurviveEverywhere)
@@ -247,8 +247,8 @@
         Entry first(1);
         Entry second(3);
         const double level = *rc::gen::inRange(0, 1600) / 100.0;
-        first.tell(level);
-        second.tell(level);
+        first.reportShedLevel(level);
+        second.reportShedLevel(level);
         for (uint64_t i = 0; i < 200; ++i) {
             auto one = first.context;
             one.depth = 2;
@@ -265,19 +265,19 @@
 BOOST_AUTO_TEST_CASE(ThenOldLevelsFade)
 {
     Entry entry;
-    entry.tell(1.0);
+    entry.reportShedLevel(1.0);
     entry.clock.advance(milliseconds(1500));
-    const double fading = entry.shedShare(Importance::Low);
+    const double fading = entry.shedFraction(Importance::Low);
     BOOST_TEST(fading > 0.4);
     BOOST_TEST(fading < 0.6);
     entry.clock.advance(seconds(1));
-    BOOST_TEST(entry.shedShare(Importance::Low) == 0);
+    BOOST_TEST(entry.shedFraction(Importance::Low) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(ThenSurvivorsStandForThoseShed)
 {
     Entry entry;
-    entry.tell(0.5);
+    entry.reportShedLevel(0.5);
     double represented = 0;
     constexpr int requests = 4000;
     for (int i = 0; i < requests; ++i) {
