--- a/src/drain/Drain.cpp
+++ b/src/drain/Drain.cpp
@@ -8,7 +8,7 @@
     // (docs/design/membership.md), and two readiness checks, one second apart, have failed by the end of this time.
     constexpr Duration announcementTime = milliseconds(2500);
     // Minimum time for sending the last messages.
-    constexpr Duration farewellTime = milliseconds(300);
+    constexpr Duration minLeavingTime = milliseconds(300);
 
     constexpr std::array<std::string_view, stopStepCount> stepNames { "node-draining", "node-refuses-new-work",
         "node-takes-nothing-new", "node-leaves", "node-ends" };
@@ -26,49 +26,49 @@
 
 void Drain::begin()
 {
-    m_began = m_stepBegan = m_clock.now();
+    m_startedAt = m_stepStartedAt = m_clock.now();
     m_board.startDraining();
 }
 
 StopStep Drain::next(const OpenWork& open)
 {
-    using Test = bool (Drain::*)(const OpenWork&) const;
-    constexpr std::array<Test, stopStepCount - 1> stepEnds { &Drain::isAnnounced, &Drain::hasFinished,
+    using Condition = bool (Drain::*)(const OpenWork&) const;
+    constexpr std::array<Condition, stopStepCount - 1> conditions { &Drain::isAnnounced, &Drain::hasFinished,
         &Drain::hasClosed, &Drain::hasLeft };
-    const auto place = static_cast<size_t>(m_step);
-    if (place < stepEnds.size() && (this->*stepEnds[place])(open))
-        enter(static_cast<StopStep>(place + 1), open);
+    const auto index = static_cast<size_t>(m_step);
+    if (index < conditions.size() && (this->*conditions[index])(open))
+        enter(static_cast<StopStep>(index + 1), open);
     return m_step;
 }
 
 void Drain::enter(StopStep step, const OpenWork& open)
 {
     m_step = step;
-    m_stepBegan = m_clock.now();
+    m_stepStartedAt = m_clock.now();
     if (step == StopStep::Finishing)
         m_board.startRefusingNewWork();
     if (step == StopStep::Leaving)
-        m_limitReached = !isAnswered(open);
+        m_limitReached = !hasAnsweredAll(open);
 }
 
-bool Drain::isAnnounced(const OpenWork&) const { return m_clock.now() - m_stepBegan >= announcementTime; }
+bool Drain::isAnnounced(const OpenWork&) const { return m_clock.now() - m_stepStartedAt >= announcementTime; }
 
 // The co-located backend server may make calls through this node for as long as it runs an attempt.
 bool Drain::hasFinished(const OpenWork&) const { return !m_board.attempts().size() || isPastLimit(); }
 
-bool Drain::hasClosed(const OpenWork& open) const { return isAnswered(open) || isPastLimit(); }
+bool Drain::hasClosed(const OpenWork& open) const { return hasAnsweredAll(open) || isPastLimit(); }
 
 bool Drain::hasLeft(const OpenWork& open) const
 {
     const bool isDone = !open.unsent && !open.connections;
-    return m_clock.now() - m_stepBegan >= farewellTime && (isDone || isPastLimit());
+    return m_clock.now() - m_stepStartedAt >= minLeavingTime && (isDone || isPastLimit());
 }
 
-bool Drain::isAnswered(const OpenWork& open) const
+bool Drain::hasAnsweredAll(const OpenWork& open) const
 {
     return !open.connections && !m_board.entries().size() && !m_board.attempts().size();
 }
 
-bool Drain::isPastLimit() const { return m_clock.now() - m_began >= announcementTime + m_limit; }
+bool Drain::isPastLimit() const { return m_clock.now() - m_startedAt >= announcementTime + m_limit; }
 
 } // namespace Vanillaridge
--- a/src/drain/Drain.h
+++ b/src/drain/Drain.h
@@ -52,7 +52,7 @@
     bool hasFinished(const OpenWork&) const;
     bool hasClosed(const OpenWork&) const;
     bool hasLeft(const OpenWork&) const;
-    bool isAnswered(const OpenWork&) const;
+    bool hasAnsweredAll(const OpenWork&) const;
     bool isPastLimit() const;
     void enter(StopStep, const OpenWork&);
 
@@ -60,8 +60,8 @@
     const Clock& m_clock;
     const Duration m_limit;
     StopStep m_step { StopStep::Announcing };
-    Instant m_began;
-    Instant m_stepBegan;
+    Instant m_startedAt;
+    Instant m_stepStartedAt;
     bool m_limitReached { false };
 };
 
--- a/tests/DrainTests.cpp
+++ b/tests/DrainTests.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration limit = seconds(2);
 constexpr Duration announcement = milliseconds(2500);
-constexpr Duration look = milliseconds(20);
+constexpr Duration checkInterval = milliseconds(20);
 
 // A node that was asked to stop; tests add requests and attempts to its board.
 struct StoppingNode {
@@ -22,12 +22,12 @@
     }
 
     // Checks at a fixed interval until the step changes or the time has passed.
-    StopStep lookFor(Duration time)
+    StopStep waitForNextStep(Duration time)
     {
         const auto before = drain.next(open);
         auto step = before;
-        for (Duration passed(0); passed < time && step == before; passed += look)
-            step = nextAfter(look);
+        for (Duration passed(0); passed < time && step == before; passed += checkInterval)
+            step = nextAfter(checkInterval);
         return step;
     }
 
@@ -35,12 +35,12 @@
     {
         board.attempts().update(attempt, [](AttemptRecord&) {});
     }
-    void endAttempt() { board.attempts().erase(attempt); }
+    void removeAttempt() { board.attempts().erase(attempt); }
     void addEntry()
     {
         board.entries().update(attempt.request, [](EntryRecord&) {});
     }
-    void endEntry() { board.entries().erase(attempt.request); }
+    void removeEntry() { board.entries().erase(attempt.request); }
 
     const AttemptId attempt { { { 1 }, { 1 }, 1 }, 1 };
     ManualClock clock;
@@ -55,16 +55,16 @@
 
 BOOST_AUTO_TEST_SUITE(WhenItHasJustBeenAsked)
 
-BOOST_AUTO_TEST_CASE(ThenItSaysSoAndGoesOnServing)
+BOOST_AUTO_TEST_CASE(ThenItAnnouncesItAndKeepsServing)
 {
     BOOST_TEST(board.draining());
     BOOST_TEST(!board.refusesNewWork());
-    BOOST_TEST((nextAfter(announcement - look) == StopStep::Announcing));
+    BOOST_TEST((nextAfter(announcement - checkInterval) == StopStep::Announcing));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenTheOthersHaveHeardOfIt)
+BOOST_AUTO_TEST_SUITE(WhenTheAnnouncementTimeHasPassed)
 
 BOOST_AUTO_TEST_CASE(ThenItRefusesNewWork)
 {
@@ -76,9 +76,9 @@
 {
     addAttempt();
     BOOST_TEST((nextAfter(announcement) == StopStep::Finishing));
-    BOOST_TEST((lookFor(seconds(1)) == StopStep::Finishing));
-    endAttempt();
-    BOOST_TEST((nextAfter(look) == StopStep::Closing));
+    BOOST_TEST((waitForNextStep(seconds(1)) == StopStep::Finishing));
+    removeAttempt();
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Closing));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -89,10 +89,10 @@
 {
     open.connections = 1;
     nextAfter(announcement);
-    BOOST_TEST((nextAfter(look) == StopStep::Closing));
-    BOOST_TEST((lookFor(seconds(1)) == StopStep::Closing));
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Closing));
+    BOOST_TEST((waitForNextStep(seconds(1)) == StopStep::Closing));
     open.connections = 0;
-    BOOST_TEST((nextAfter(look) == StopStep::Leaving));
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Leaving));
     BOOST_TEST(!drain.limitReached());
 }
 
@@ -104,10 +104,10 @@
 {
     addEntry();
     nextAfter(announcement);
-    BOOST_TEST((lookFor(seconds(1)) == StopStep::Closing));
-    BOOST_TEST((lookFor(milliseconds(500)) == StopStep::Closing));
-    endEntry();
-    BOOST_TEST((nextAfter(look) == StopStep::Leaving));
+    BOOST_TEST((waitForNextStep(seconds(1)) == StopStep::Closing));
+    BOOST_TEST((waitForNextStep(milliseconds(500)) == StopStep::Closing));
+    removeEntry();
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Leaving));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -117,30 +117,30 @@
 BOOST_AUTO_TEST_CASE(ThenTheProcessDoesNotEndBeforeTheyAre)
 {
     nextAfter(announcement);
-    nextAfter(look);
-    BOOST_TEST((nextAfter(look) == StopStep::Leaving));
+    nextAfter(checkInterval);
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Leaving));
     open.unsent = 1;
-    BOOST_TEST((lookFor(seconds(1)) == StopStep::Leaving));
+    BOOST_TEST((waitForNextStep(seconds(1)) == StopStep::Leaving));
     open.unsent = 0;
-    BOOST_TEST((nextAfter(look) == StopStep::Ended));
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Ended));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(WhenARequestOutlastsTheLimit)
 
-BOOST_AUTO_TEST_CASE(ThenTheNodeEndsAndSaysSo)
+BOOST_AUTO_TEST_CASE(ThenTheStopCompletesAndReportsTheLimit)
 {
     addAttempt();
     addEntry();
     open.connections = 1;
     open.unsent = 1;
     nextAfter(announcement);
-    BOOST_TEST((nextAfter(limit - look) == StopStep::Finishing));
-    BOOST_TEST((nextAfter(look) == StopStep::Closing));
-    BOOST_TEST((nextAfter(look) == StopStep::Leaving));
+    BOOST_TEST((nextAfter(limit - checkInterval) == StopStep::Finishing));
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Closing));
+    BOOST_TEST((nextAfter(checkInterval) == StopStep::Leaving));
     BOOST_TEST(drain.limitReached());
-    BOOST_TEST((lookFor(seconds(1)) == StopStep::Ended));
+    BOOST_TEST((waitForNextStep(seconds(1)) == StopStep::Ended));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
