--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -34,9 +34,9 @@
 
     // Whether a completion counts as a failure of the server itself. A timeout does so only without feedback from the
     // server's node: with feedback, a service further downstream may have been slow.
-    bool isFailure(const CallEnd& end)
+    bool isFailure(const CallCompletion& completion)
     {
-        switch (end.reason) {
+        switch (completion.reason) {
         case Reason::PeerUnreachable:
         case Reason::BackendUnreachable:
         case Reason::ConnectionLost:
@@ -44,7 +44,7 @@
         case Reason::Internal:
             return true;
         case Reason::Timeout:
-            return !end.feedback;
+            return !completion.feedback;
         default:
             return false;
         }
@@ -112,9 +112,9 @@
     double load(const ServerRecord&, Duration slowStart) const;
     double slowStartFactor(const ServerRecord&, Duration slowStart) const;
     Candidates eligibleServers(const ServerGroup&, std::span<const NodeId> tried) const;
-    void recordResult(ServerRecord&, const CallEnd&);
-    void updateShedLevel(const CallEnd&);
-    void countCall(const CallEnd&);
+    void recordResult(ServerRecord&, const CallCompletion&);
+    void updateShedLevel(const CallCompletion&);
+    void countCall(const CallCompletion&);
     double decayedShedLevel(const ShedRecord&) const;
     bool shouldShed(ShedRecord&, RequestContext&);
     Duration slowStartOf(std::string_view service) const;
@@ -217,18 +217,18 @@
 }
 
 // Consecutive failures set a server aside; its health endpoint is never queried.
-void Placement::State::recordResult(ServerRecord& server, const CallEnd& end)
+void Placement::State::recordResult(ServerRecord& server, const CallCompletion& completion)
 {
     server.outstanding -= server.outstanding > 0;
     const auto now = clock.now();
-    if (end.feedback) {
-        server.feedback = *end.feedback;
+    if (completion.feedback) {
+        server.feedback = *completion.feedback;
         server.feedbackAt = now;
-        server.announcement.draining |= end.feedback->draining;
+        server.announcement.draining |= completion.feedback->draining;
     }
-    if (!isFailure(end)) {
+    if (!isFailure(completion)) {
         server.failures = 0;
-        if (end.reason == Reason::None)
+        if (completion.reason == Reason::None)
             server.setAsides = 0;
         return;
     }
@@ -279,11 +279,11 @@
 }
 
 // EWMA over the responses from all servers of a service; old reports lose their weight.
-void Placement::State::updateShedLevel(const CallEnd& end)
+void Placement::State::updateShedLevel(const CallCompletion& completion)
 {
-    const double reported = end.feedback->shedLevel;
+    const double reported = completion.feedback->shedLevel;
     const auto now = clock.now();
-    const FlowKey flow { end.context.route, end.context.account };
+    const FlowKey flow { completion.context.route, completion.context.account };
     board.shedRecords().with(flow, [&](auto& records) {
         auto found = records.find(flow);
         if (found == records.end()) {
@@ -300,10 +300,10 @@
     });
 }
 
-void Placement::State::countCall(const CallEnd& end)
+void Placement::State::countCall(const CallCompletion& completion)
 {
-    board.routeCalls().update(RouteName(end.parentRoute), [&](RouteCallsRecord& record) {
-        record.calls[end.context.route] += 1;
+    board.routeCalls().update(RouteName(completion.parentRoute), [&](RouteCallsRecord& record) {
+        record.calls[completion.context.route] += 1;
         if (record.requests < countsDecayThreshold)
             return;
         record.requests /= 2;
@@ -369,17 +369,17 @@
     });
 }
 
-void Placement::ended(const PlacementChoice& choice, const CallEnd& end)
+void Placement::ended(const PlacementChoice& choice, const CallCompletion& completion)
 {
     m_state->board.servers().visit(choice.server.service, [&](ServerGroup& group) {
         const auto found = group.find(choice.server.node);
         if (found != group.end())
-            m_state->recordResult(found->second, end);
+            m_state->recordResult(found->second, completion);
     });
-    if (end.feedback)
-        m_state->updateShedLevel(end);
-    if (!end.parentRoute.empty())
-        m_state->countCall(end);
+    if (completion.feedback)
+        m_state->updateShedLevel(completion);
+    if (!completion.parentRoute.empty())
+        m_state->countCall(completion);
 }
 
 // Sheds the same requests that the downstream servers would shed, so that no work is done for them.
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -14,7 +14,7 @@
 };
 
 /// How a call to a chosen backend server completed.
-struct CallEnd {
+struct CallCompletion {
     /// The call's own context.
     const RequestContext& context;
     /// Route of the request whose backend server made this call; empty for a caller's request.
@@ -50,7 +50,7 @@
     /// Counts a request as outstanding at the chosen server. `ended` must follow exactly once.
     void began(const PlacementChoice&);
     /// Records the completion of a call, and the load and shed level that it reported.
-    void ended(const PlacementChoice&, const CallEnd&);
+    void ended(const PlacementChoice&, const CallCompletion&);
 
     /// Whether the request would be shed downstream, and so should be refused here as ShedAtEntry. Otherwise sets in
     /// its context how many similar requests it represents.
