--- a/src/drain/Drain.cpp
+++ b/src/drain/Drain.cpp
@@ -30,7 +30,7 @@
     m_board.startDraining();
 }
 
-StopStep Drain::next(const OpenWork& open)
+StopStep Drain::advance(const OpenWork& open)
 {
     using Condition = bool (Drain::*)(const OpenWork&) const;
     constexpr std::array<Condition, stopStepCount - 1> conditions { &Drain::isAnnounced, &Drain::hasFinished,
--- a/src/drain/Drain.h
+++ b/src/drain/Drain.h
@@ -43,7 +43,7 @@
     void begin();
     /// Advances by at most one step and returns the current one, which the caller then carries out. Call every few ms
     /// after `begin`.
-    StopStep next(const OpenWork&);
+    StopStep advance(const OpenWork&);
     /// Whether the limit passed before all received requests were answered.
     bool limitReached() const { return m_limitReached; }
 
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -232,7 +232,7 @@
         enter(step);
         while (step != StopStep::Ended) {
             co_await pause(drainLookPeriod);
-            const auto next = m_drain.next(openWork());
+            const auto next = m_drain.advance(openWork());
             if (next != step)
                 enter(next);
             step = next;
--- a/tests/DrainTests.cpp
+++ b/tests/DrainTests.cpp
@@ -18,13 +18,13 @@
     StopStep nextAfter(Duration time)
     {
         clock.advance(time);
-        return drain.next(open);
+        return drain.advance(open);
     }
 
     // Checks at a fixed interval until the step changes or the time has passed.
     StopStep waitForNextStep(Duration time)
     {
-        const auto before = drain.next(open);
+        const auto before = drain.advance(open);
         auto step = before;
         for (Duration passed(0); passed < time && step == before; passed += checkInterval)
             step = nextAfter(checkInterval);
