--- a/bench/AdmissionBench.cpp
+++ b/bench/AdmissionBench.cpp
@@ -130,9 +130,9 @@
         return;
     node->retry.noteFirstTry(context.service);
     const auto choice = node->placement.choose(context.service, {});
-    node->placement.began(*choice);
+    node->placement.callStarted(*choice);
     const LoadFeedback feedback { .service = context.service, .running = 1, .limit = slots };
-    node->placement.ended(*choice, { context, {}, Reason::None, &feedback, microseconds(100) });
+    node->placement.callCompleted(*choice, { context, {}, Reason::None, &feedback, microseconds(100) });
 }
 
 void guard(benchmark::State& state) { run(state, guardPath); }
--- a/bench/FakeFleet.h
+++ b/bench/FakeFleet.h
@@ -241,7 +241,7 @@
         call->lent = node.retry.lendToAttempt(call->context.attempt.request);
         call->context.retriesLeft = call->lent;
         call->context.remaining = call->tree->deadline - m_events.now();
-        node.placement.began(*choice);
+        node.placement.callStarted(*choice);
         auto& guard = *nodeOf(choice->server.node);
         const auto began = m_events.now();
         auto answered = std::make_shared<bool>(false);
@@ -249,7 +249,7 @@
                              Reason reason, const LoadFeedback* feedback, std::optional<uint32_t> used) {
             if (std::exchange(*answered, true))
                 return;
-            node.placement.ended(
+            node.placement.callCompleted(
                 choice, { call->context, call->parentRoute, reason, feedback, m_events.now() - began });
             node.retry.collect(call->context.attempt.request, call->lent, used);
             concluded(node, call, reason);
--- a/src/node/EntryRequest.cpp
+++ b/src/node/EntryRequest.cpp
@@ -255,7 +255,7 @@
 Task<Decision> EntryRequest::makeAttempt(Attempt& attempt)
 {
     auto& control = m_parts.control;
-    control.placement.began(attempt.choice);
+    control.placement.callStarted(attempt.choice);
     m_stream = co_await m_parts.peers.open(attempt.choice.endpoint);
     const auto guard = m_stream ? m_stream->peer().boot : BootId {};
     attempt.sentAt = m_parts.clock.now();
@@ -416,7 +416,7 @@
 void EntryRequest::conclude(const Attempt& attempt)
 {
     const auto latency = m_parts.clock.now() - attempt.sentAt;
-    m_parts.control.placement.ended(attempt.choice,
+    m_parts.control.placement.callCompleted(attempt.choice,
         { m_decision.context, m_parentRoute, attempt.reason, attempt.feedback ? &*attempt.feedback : nullptr,
             latency });
 }
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -360,7 +360,7 @@
     return choice;
 }
 
-void Placement::began(const PlacementChoice& choice)
+void Placement::callStarted(const PlacementChoice& choice)
 {
     m_state->board.servers().visit(choice.server.service, [&](ServerGroup& group) {
         const auto found = group.find(choice.server.node);
@@ -369,7 +369,7 @@
     });
 }
 
-void Placement::ended(const PlacementChoice& choice, const CallCompletion& completion)
+void Placement::callCompleted(const PlacementChoice& choice, const CallCompletion& completion)
 {
     m_state->board.servers().visit(choice.server.service, [&](ServerGroup& group) {
         const auto found = group.find(choice.server.node);
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -47,10 +47,10 @@
 
     /// A backend server of the service that is not in `tried`; nullopt when there is none.
     std::optional<PlacementChoice> choose(std::string_view service, std::span<const NodeId> tried);
-    /// Counts a request as outstanding at the chosen server. `ended` must follow exactly once.
-    void began(const PlacementChoice&);
+    /// Counts a request as outstanding at the chosen server. `callCompleted` must follow exactly once.
+    void callStarted(const PlacementChoice&);
     /// Records the completion of a call, and the load and shed level that it reported.
-    void ended(const PlacementChoice&, const CallCompletion&);
+    void callCompleted(const PlacementChoice&, const CallCompletion&);
 
     /// Whether the request would be shed downstream, and so should be refused here as ShedAtEntry. Otherwise sets in
     /// its context how many similar requests it represents.
--- a/tests/OverloadCostTests.cpp
+++ b/tests/OverloadCostTests.cpp
@@ -94,8 +94,8 @@
     const double count = node.allocationsPer([&](RequestContext& context) {
         node.placement.shedAtEntry(context);
         const auto choice = node.placement.choose(context.service, {});
-        node.placement.began(*choice);
-        node.placement.ended(*choice, { context, {}, Reason::None, &feedback, {} });
+        node.placement.callStarted(*choice);
+        node.placement.callCompleted(*choice, { context, {}, Reason::None, &feedback, {} });
     });
     BOOST_TEST(count <= 5.1);
 }
--- a/tests/PlacementTests.cpp
+++ b/tests/PlacementTests.cpp
@@ -51,10 +51,10 @@
         const auto choice = placement.choose("history", {});
         if (!choice)
             return std::nullopt;
-        placement.began(*choice);
+        placement.callStarted(*choice);
         const LoadFeedback feedback { .service = "history", .limit = 100 };
         const auto reason = answer(choice->server.node);
-        placement.ended(*choice, { context, {}, reason, reason == Reason::None ? &feedback : nullptr, {} });
+        placement.callCompleted(*choice, { context, {}, reason, reason == Reason::None ? &feedback : nullptr, {} });
         return choice->server.node;
     }
 
@@ -73,9 +73,9 @@
     void reportShedLevel(double level)
     {
         const auto choice = placement.choose("history", {});
-        placement.began(*choice);
+        placement.callStarted(*choice);
         const LoadFeedback feedback { .service = "history", .limit = 100, .shedLevel = level };
-        placement.ended(*choice, { context, {}, Reason::None, &feedback, {} });
+        placement.callCompleted(*choice, { context, {}, Reason::None, &feedback, {} });
     }
 
     // Fraction of the requests of an importance that are shed at entry.
@@ -130,7 +130,7 @@
 {
     Entry entry;
     const auto choice = entry.placement.choose("history", {});
-    entry.placement.began(*choice);
+    entry.placement.callStarted(*choice);
     entry.setState(choice->server.node == Entry::node(0) ? 1 : 0, MemberState::Left);
     uint32_t outstanding = 0;
     entry.board.servers().visit("history", [&](ServerGroup& group) {
@@ -156,7 +156,7 @@
     std::map<NodeId, int> counts;
     for (int i = 0; i < 100; ++i) {
         const auto choice = entry.placement.choose("history", {});
-        entry.placement.began(*choice);
+        entry.placement.callStarted(*choice);
         ++counts[choice->server.node];
     }
     BOOST_TEST(counts[Entry::node(3)] * 2 < counts[Entry::node(0)]);
@@ -172,7 +172,7 @@
     // Requests stay outstanding, up to half of the zone's slots.
     for (int i = 0; i < 100; ++i) {
         const auto choice = entry.placement.choose("history", {});
-        entry.placement.began(*choice);
+        entry.placement.callStarted(*choice);
         BOOST_TEST((choice->server.node == Entry::node(0) || choice->server.node == Entry::node(4)));
     }
 }
@@ -183,7 +183,7 @@
     std::map<NodeId, int> counts;
     for (int i = 0; i < 600; ++i) {
         const auto choice = entry.placement.choose("history", {});
-        entry.placement.began(*choice);
+        entry.placement.callStarted(*choice);
         ++counts[choice->server.node];
     }
     BOOST_TEST(counts.size() == 8u);
@@ -211,7 +211,7 @@
     int trials = 0;
     for (int i = 0; i < 100; ++i) {
         const auto choice = entry.placement.choose("history", {});
-        entry.placement.began(*choice);
+        entry.placement.callStarted(*choice);
         trials += choice->server.node == Entry::node(0);
     }
     BOOST_TEST(trials == 1);
