--- a/src/retry/Retry.cpp
+++ b/src/retry/Retry.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-    // Retries that a service's budget holds at most, and after a quiet time.
+    // Capacity of a service's token bucket, which starts full.
     constexpr double reserveTokens = 5;
-    // Of these, kept for callers' requests: a call helps only if all others of its request are answered as well.
+    // Tokens reserved for callers' requests: a retried call helps only if all other calls of its request succeed too.
     constexpr double keptFromCalls = 2;
-    // Wait before the first retry; doubled for each further one.
+    // Backoff before the first retry, doubled for each further one up to the maximum.
     constexpr Duration firstDelay = milliseconds(5);
     constexpr Duration longestDelay = milliseconds(200);
     constexpr double jitterFraction = 0.5;
-    // Retry-After while a service refuses little, and while it refuses everything.
+    // Retry-After while a service refuses few requests, and while it refuses all of them.
     constexpr Duration shortestRetryAfter = milliseconds(500);
     constexpr Duration longestRetryAfter = seconds(20);
-    // Part of a target latency that passes before a refused caller returns, and how far returns are spread: the rest is
-    // for the second try.
+    // Fraction of the target latency that a refused caller waits, and its jitter. The rest is left for the retry
+    // itself.
     constexpr double shareBeforeReturn = 0.4;
     constexpr double returnJitter = 0.25;
-    // Half-life of what is remembered of refusals, for Retry-After.
+    // Half-life of the counts of first attempts and refusals behind Retry-After.
     constexpr Duration refusalMemory = seconds(2);
 
-    // Whether a retry by somebody further down would have been for the same cause: refusals that come from the very
-    // next guard cannot have been retried below it.
+    // Whether downstream calls have already retried for the same cause. A refusal by the next guard cannot have been
+    // retried downstream, because the request never ran there.
     bool retriedBelow(const EntryRecord& entry, Reason reason)
     {
         return entry.retriesBelow > 0 && row(reason).outcome != Outcome::NotRun;
     }
 
-    // Whether another try may help, and would not run a request twice that must run once.
+    // Whether a retry may help and cannot run a non-idempotent request twice.
     bool retryHelps(const EntryRecord& entry, Reason reason)
     {
         if (row(reason).worthAnotherServer)
@@ -44,10 +44,10 @@
 } // namespace
 
 struct Retry::State {
-    // The retry budget of one service at this node, as a token bucket filled by first tries.
+    // The retry budget of one service at this node: a token bucket filled by first attempts.
     struct ServiceBudget {
         double tokens { reserveTokens };
-        // First tries and refusals of late, decayed.
+        // Exponentially decayed counts of first attempts and refusals.
         double firstTries { 0 };
         double refusals { 0 };
         Instant decayedAt;
@@ -61,7 +61,7 @@
     {
     }
 
-    // Lets old counts fade before new ones are added.
+    // Decays the counts to the current time. Called before a count is incremented.
     void decay(ServiceBudget& budget) const
     {
         const auto now = clock.now();
@@ -88,13 +88,14 @@
         });
     }
 
-    // A retry taken out of an entry's budget.
+    // A retry taken from an entry's budget.
     struct EntryRetry {
         uint32_t number { 0 };
         bool isNewWork { true };
     };
 
-    // What may be spent is looked at first, without the service's budget, which has a lock of its own.
+    // Checks and charges only the entry's budget; the service's budget is under a different lock and charged
+    // afterwards.
     std::optional<EntryRetry> takeFromEntry(const RequestId& id, Reason reason)
     {
         std::optional<EntryRetry> taken;
@@ -137,7 +138,8 @@
 
 Retry::~Retry() = default;
 
-// First tries earn retries, so that a service that fails everything gets a fixed fraction more, and no storm.
+// Tokens come from first attempts, so that a service that fails every request gets only a fixed fraction of extra load
+// and no retry storm.
 void Retry::noteFirstTry(std::string_view service)
 {
     const double fraction = m_state->policy().retryFraction;
@@ -148,7 +150,7 @@
     });
 }
 
-// Both budgets must have a retry left; the entry's is put back when the service's has none.
+// Both budgets must have a retry left. The entry's retry is refunded if the service has none.
 std::optional<RetryGrant> Retry::mayRetry(const RequestId& id, std::string_view service, Reason reason)
 {
     // 1. The request's own budget.
@@ -159,7 +161,7 @@
         return std::nullopt;
     }
 
-    // 2. The service's.
+    // 2. The service's budget.
     const double kept = taken->isNewWork ? 0 : keptFromCalls;
     if (m_state->strategy == RetryStrategy::Budget && !m_state->takeToken(service, kept)) {
         m_state->putBackIntoEntry(id);
@@ -173,8 +175,8 @@
     return RetryGrant { taken->number, m_state->delayBefore(taken->number) };
 }
 
-// While an attempt is under way nobody retries here, so the budget goes with it, but for one retry: an attempt that is
-// lost takes what it was lent with it.
+// The entry does not retry while an attempt is running, so the attempt gets the budget. One retry stays behind, because
+// a lost attempt never returns the retries lent to it.
 uint32_t Retry::lendToAttempt(const RequestId& id)
 {
     if (m_state->strategy == RetryStrategy::NoBudget)
@@ -188,7 +190,7 @@
     return lent;
 }
 
-// An attempt that gave no answer may have spent everything, so its loan counts as spent.
+// An attempt without an answer may have used all retries lent to it, so they all count as spent.
 void Retry::collect(const RequestId& id, uint32_t lent, std::optional<uint32_t> used)
 {
     if (m_state->strategy == RetryStrategy::NoBudget)
@@ -201,7 +203,7 @@
     });
 }
 
-// Half, rounded up: a single call in a row of depth still finds a retry, and calls side by side do not starve.
+// Half, rounded up: in a deep chain of single calls each still gets a retry, and concurrent calls do not starve.
 uint32_t Retry::lendToChild(const AttemptId& parent)
 {
     if (m_state->strategy == RetryStrategy::NoBudget)
@@ -214,7 +216,7 @@
     return share;
 }
 
-// What a call used is told to the caller's entry with the answer, by way of AttemptRecord::retriesUsed.
+// The retries that a call used reach the caller's entry with the answer, through AttemptRecord::retriesUsed.
 void Retry::returnFromChild(const AttemptId& parent, uint32_t lent, uint32_t used)
 {
     if (m_state->strategy == RetryStrategy::NoBudget)
@@ -226,7 +228,7 @@
     });
 }
 
-// Grows with the share of requests refused of late, so that callers come back when there is room for them.
+// Grows with the recent fraction of refused requests, so that callers retry when there is capacity for them.
 Duration Retry::retryAfter(std::string_view service, Reason)
 {
     const double refused = m_state->budgets.update(ServiceName(service), [&](State::ServiceBudget& budget) {
--- a/tests/OverloadCostTests.cpp
+++ b/tests/OverloadCostTests.cpp
@@ -9,7 +9,8 @@
 
 using namespace Vanillaridge;
 
-// Bounds on what a decision costs, as counts that are the same on each machine. Times are in bench/AdmissionBench.cpp.
+// Bounds on the cost of a decision in allocations, which are the same on every machine. bench/AdmissionBench.cpp
+// measures times.
 
 namespace {
 
@@ -32,7 +33,7 @@
 
 constexpr int requests = 2000;
 
-// A node that is guard of one backend server and knows eight others.
+// A node that guards one backend server and knows eight peers that serve the same service.
 struct BusyNode {
     BusyNode()
         : random(makeSeededRandom(1))
@@ -52,7 +53,7 @@
         });
     }
 
-    // Allocations for each request, after a first one that makes tables.
+    // Allocations per request, not counting a first request that creates the tables.
     template <typename Step> double allocationsPer(Step&& step)
     {
         RequestContext context { {}, "owner", "look-up", "history" };
--- a/tests/OverloadTests.cpp
+++ b/tests/OverloadTests.cpp
@@ -5,14 +5,14 @@
 
 using namespace Vanillaridge;
 
-// Regression bounds of the overload policy, as ratios of what is physically possible. The clock is injected and the
-// seeds are fixed, so each run gives the same figures. The whole cases are in bench/OverloadBench.cpp.
+// Regression bounds for the overload policy, as ratios of what is physically possible. The clock is injected and the
+// seeds are fixed, so every run gives the same results. bench/OverloadBench.cpp runs the cases at full length.
 
 namespace {
 
 constexpr Deployment deployments[] = { Deployment::SaengChai, Deployment::Altai };
 
-// A case cut short.
+// Shortens a case to keep the test fast.
 OverloadCase shortened(OverloadCase overload)
 {
     overload.warmUp = milliseconds(500);
@@ -25,7 +25,7 @@
 const Contestant noControl {
     .name = "no control", .admission = AdmissionStrategy::NoControl, .edge = EdgeShedding::Off
 };
-// Neither the entry nor the first guard sheds for loads further down.
+// Neither the entry nor the first guard sheds requests because of downstream overload.
 const Contestant noEdge {
     .name = "no edge shedding", .admission = AdmissionStrategy::AdaptiveAlone, .edge = EdgeShedding::Off
 };
@@ -52,7 +52,8 @@
         BOOST_TEST(result.goodput >= 0.9);
         BOOST_TEST(result.critical == 1);
         BOOST_TEST(result.recovery <= 2);
-        // The sudden doubling takes a larger part of this short run than of the whole case, which is bound to 0.03.
+        // The step to twice the load is a larger part of this short run than of the full-length case, whose bound is
+        // 0.03.
         BOOST_TEST(result.wasted <= 0.05);
     }
 }
--- a/tests/RetryTests.cpp
+++ b/tests/RetryTests.cpp
@@ -10,7 +10,7 @@
 
 constexpr uint32_t budget = 3;
 
-// One node; entries and attempts of all levels lie on its board, so that a whole tree can be played through.
+// A single node whose board holds the entries and attempts of all levels, so that a whole call tree can be simulated.
 struct Fixture {
     explicit Fixture(RetryStrategy strategy = RetryStrategy::Budget)
         : random(makeSeededRandom(7))
@@ -43,12 +43,12 @@
     uint64_t sequence { 0 };
 };
 
-// A tree of calls in which every attempt fails in a way that is worth a retry, unless told otherwise.
+// A tree of calls in which every attempt fails with a retryable reason.
 struct Tree {
     Fixture& fixture;
     uint32_t depth;
     uint32_t fanOut;
-    // Whether the answer to a failed attempt comes, and tells what was used.
+    // Whether a failed attempt is answered, with the number of retries it used.
     bool answers { true };
     std::vector<uint64_t> attempts {};
 
@@ -60,7 +60,7 @@
     {
     }
 
-    // Plays the entry of one call and returns the retries it used.
+    // Simulates the entry of one call and returns the number of retries it used.
     uint32_t enter(uint32_t level, uint32_t retries)
     {
         const auto id = fixture.enter(retries);
@@ -82,7 +82,7 @@
         return used;
     }
 
-    // Plays the attempt at the guard, with the calls that its backend server makes.
+    // Simulates the attempt at the guard with the calls that its backend server makes, and returns the retries used.
     uint32_t run(uint32_t level, const AttemptId& attempt, uint32_t lent)
     {
         ++attempts[level];
@@ -228,7 +228,8 @@
 
 BOOST_AUTO_TEST_CASE(ThenCallersRequestsAreRetriedBeforeCallsThatAreFewOfMany)
 {
-    // One in twenty is a caller's request, which needs nothing else; the others are calls of requests that need ten.
+    // One in twenty is a caller's request, which needs no other call. The others are calls of requests that need ten
+    // calls each.
     Fixture fixture;
     uint32_t rejected = 0;
     uint32_t retried = 0;
