--- a/src/retry/Retry.cpp
+++ b/src/retry/Retry.cpp
@@ -8,32 +8,32 @@
 namespace {
 
     // Capacity of a service's token bucket, which starts full.
-    constexpr double reserveTokens = 5;
+    constexpr double bucketCapacity = 5;
     // Tokens reserved for callers' requests: a retried call helps only if all other calls of its request succeed too.
-    constexpr double keptFromCalls = 2;
+    constexpr double tokensReservedForCallers = 2;
     // Backoff before the first retry, doubled for each further one up to the maximum.
-    constexpr Duration firstDelay = milliseconds(5);
-    constexpr Duration longestDelay = milliseconds(200);
+    constexpr Duration initialBackoff = milliseconds(5);
+    constexpr Duration maxBackoff = milliseconds(200);
     constexpr double jitterFraction = 0.5;
     // Retry-After while a service refuses few requests, and while it refuses all of them.
-    constexpr Duration shortestRetryAfter = milliseconds(500);
-    constexpr Duration longestRetryAfter = seconds(20);
+    constexpr Duration minRetryAfter = milliseconds(500);
+    constexpr Duration maxRetryAfter = seconds(20);
     // Fraction of the target latency that a refused caller waits, and its jitter. The rest is left for the retry
     // itself.
-    constexpr double shareBeforeReturn = 0.4;
-    constexpr double returnJitter = 0.25;
+    constexpr double targetLatencyFraction = 0.4;
+    constexpr double targetJitterFraction = 0.25;
     // Half-life of the counts of first attempts and refusals behind Retry-After.
-    constexpr Duration refusalMemory = seconds(2);
+    constexpr Duration countHalfLife = seconds(2);
 
     // Whether downstream calls have already retried for the same cause. A refusal by the next guard cannot have been
     // retried downstream, because the request never ran there.
-    bool retriedBelow(const EntryRecord& entry, Reason reason)
+    bool isRetriedDownstream(const EntryRecord& entry, Reason reason)
     {
         return entry.retriesBelow > 0 && row(reason).outcome != Outcome::NotRun;
     }
 
     // Whether a retry may help and cannot run a non-idempotent request twice.
-    bool retryHelps(const EntryRecord& entry, Reason reason)
+    bool isRetryable(const EntryRecord& entry, Reason reason)
     {
         if (row(reason).worthAnotherServer)
             return true;
@@ -46,9 +46,9 @@
 struct Retry::State {
     // The retry budget of one service at this node: a token bucket filled by first attempts.
     struct ServiceBudget {
-        double tokens { reserveTokens };
+        double tokens { bucketCapacity };
         // Exponentially decayed counts of first attempts and refusals.
-        double firstTries { 0 };
+        double firstAttempts { 0 };
         double refusals { 0 };
         Instant decayedAt;
     };
@@ -65,9 +65,9 @@
     void decay(ServiceBudget& budget) const
     {
         const auto now = clock.now();
-        const double elapsed = std::chrono::duration<double>(now - budget.decayedAt) / refusalMemory;
+        const double elapsed = std::chrono::duration<double>(now - budget.decayedAt) / countHalfLife;
         const double factor = std::exp2(-elapsed);
-        budget.firstTries *= factor;
+        budget.firstAttempts *= factor;
         budget.refusals *= factor;
         budget.decayedAt = now;
     }
@@ -78,10 +78,10 @@
         return configuration ? configuration->policy() : Policy {};
     }
 
-    bool takeToken(std::string_view service, double kept)
+    bool takeToken(std::string_view service, double reserved)
     {
-        return budgets.update(ServiceName(service), [kept](ServiceBudget& budget) {
-            if (budget.tokens < 1 + kept)
+        return budgets.update(ServiceName(service), [reserved](ServiceBudget& budget) {
+            if (budget.tokens < 1 + reserved)
                 return false;
             budget.tokens -= 1;
             return true;
@@ -100,7 +100,7 @@
     {
         std::optional<EntryRetry> taken;
         board.entries().visit(id, [&](EntryRecord& entry) {
-            if (!entry.context.retriesLeft || retriedBelow(entry, reason) || !retryHelps(entry, reason))
+            if (!entry.context.retriesLeft || isRetriedDownstream(entry, reason) || !isRetryable(entry, reason))
                 return;
             --entry.context.retriesLeft;
             ++entry.retriesUsed;
@@ -109,7 +109,7 @@
         return taken;
     }
 
-    void putBackIntoEntry(const RequestId& id)
+    void refundToEntry(const RequestId& id)
     {
         board.entries().visit(id, [](EntryRecord& entry) {
             ++entry.context.retriesLeft;
@@ -118,10 +118,10 @@
         });
     }
 
-    Duration delayBefore(uint32_t number)
+    Duration backoffBefore(uint32_t number)
     {
-        const auto doubled = firstDelay * (uint64_t(1) << std::min(number - 1, 10U));
-        return random.jittered(std::min<Duration>(doubled, longestDelay), jitterFraction);
+        const auto doubled = initialBackoff * (uint64_t(1) << std::min(number - 1, 10U));
+        return random.jittered(std::min<Duration>(doubled, maxBackoff), jitterFraction);
     }
 
     Board& board;
@@ -145,8 +145,8 @@
     const double fraction = m_state->policy().retryFraction;
     m_state->budgets.update(ServiceName(service), [&](State::ServiceBudget& budget) {
         m_state->decay(budget);
-        budget.firstTries += 1;
-        budget.tokens = std::min(reserveTokens, budget.tokens + fraction);
+        budget.firstAttempts += 1;
+        budget.tokens = std::min(bucketCapacity, budget.tokens + fraction);
     });
 }
 
@@ -162,9 +162,9 @@
     }
 
     // 2. The service's budget.
-    const double kept = taken->isNewWork ? 0 : keptFromCalls;
-    if (m_state->strategy == RetryStrategy::Budget && !m_state->takeToken(service, kept)) {
-        m_state->putBackIntoEntry(id);
+    const double reserved = taken->isNewWork ? 0 : tokensReservedForCallers;
+    if (m_state->strategy == RetryStrategy::Budget && !m_state->takeToken(service, reserved)) {
+        m_state->refundToEntry(id);
         counters.add(Counter::RetriesWithoutBudget);
         return std::nullopt;
     }
@@ -172,7 +172,7 @@
     // 3. Granted.
     counters.add(Counter::RetriesSpent);
     counters.addRetry(reason);
-    return RetryGrant { taken->number, m_state->delayBefore(taken->number) };
+    return RetryGrant { taken->number, m_state->backoffBefore(taken->number) };
 }
 
 // The entry does not retry while an attempt is running, so the attempt gets the budget. One retry stays behind, because
@@ -234,17 +234,17 @@
     const double refused = m_state->budgets.update(ServiceName(service), [&](State::ServiceBudget& budget) {
         m_state->decay(budget);
         budget.refusals += 1;
-        return std::min(1.0, budget.refusals / std::max(1.0, budget.firstTries + budget.refusals));
+        return std::min(1.0, budget.refusals / std::max(1.0, budget.firstAttempts + budget.refusals));
     });
-    const auto range = std::chrono::duration<double>(longestRetryAfter - shortestRetryAfter);
-    const auto base = shortestRetryAfter + std::chrono::duration_cast<Duration>(range * refused * refused);
+    const auto range = std::chrono::duration<double>(maxRetryAfter - minRetryAfter);
+    const auto base = minRetryAfter + std::chrono::duration_cast<Duration>(range * refused * refused);
     return m_state->random.jittered(base, jitterFraction);
 }
 
 Duration Retry::retryWithin(Duration targetLatency)
 {
-    const auto latest = static_cast<double>(targetLatency.count()) * shareBeforeReturn;
-    return m_state->random.jittered(Duration(static_cast<Duration::rep>(latest)), returnJitter);
+    const auto delay = static_cast<double>(targetLatency.count()) * targetLatencyFraction;
+    return m_state->random.jittered(Duration(static_cast<Duration::rep>(delay)), targetJitterFraction);
 }
 
 } // namespace Vanillaridge
