--- a/tests/RetryTests.cpp
+++ b/tests/RetryTests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr uint32_t budget = 3;
+constexpr uint32_t retriesPerRequest = 3;
 
 // A single node whose board holds the entries and attempts of all levels, so that a whole call tree can be simulated.
 struct Fixture {
@@ -19,7 +19,7 @@
     {
     }
 
-    RequestId enter(uint32_t retries, bool idempotent = true)
+    RequestId addEntry(uint32_t retries, bool idempotent = true)
     {
         const RequestId id { { 1 }, { 1 }, ++sequence };
         board.entries().update(id, [&](EntryRecord& entry) {
@@ -29,7 +29,7 @@
         return id;
     }
 
-    uint32_t left(const RequestId& id)
+    uint32_t retriesLeft(const RequestId& id)
     {
         uint32_t left = 0;
         board.entries().visit(id, [&](EntryRecord& entry) { left = entry.context.retriesLeft; });
@@ -44,15 +44,15 @@
 };
 
 // A tree of calls in which every attempt fails with a retryable reason.
-struct Tree {
+struct CallTree {
     Fixture& fixture;
     uint32_t depth;
     uint32_t fanOut;
     // Whether a failed attempt is answered, with the number of retries it used.
-    bool answers { true };
+    bool hasAnswers { true };
     std::vector<uint64_t> attempts {};
 
-    explicit Tree(Fixture& fixture, uint32_t depth, uint32_t fanOut)
+    explicit CallTree(Fixture& fixture, uint32_t depth, uint32_t fanOut)
         : fixture(fixture)
         , depth(depth)
         , fanOut(fanOut)
@@ -61,16 +61,16 @@
     }
 
     // Simulates the entry of one call and returns the number of retries it used.
-    uint32_t enter(uint32_t level, uint32_t retries)
+    uint32_t runCall(uint32_t level, uint32_t retries)
     {
-        const auto id = fixture.enter(retries);
+        const auto id = fixture.addEntry(retries);
         const auto service = "service-" + std::to_string(level);
         fixture.retry.noteFirstTry(service);
         AttemptId attempt { id, 0 };
         for (;;) {
             const auto lent = fixture.retry.lendToAttempt(id);
-            const auto used = run(level, attempt, lent);
-            fixture.retry.collect(id, lent, answers ? std::optional(used) : std::nullopt);
+            const auto used = runAttempt(level, attempt, lent);
+            fixture.retry.collect(id, lent, hasAnswers ? std::optional(used) : std::nullopt);
             const auto grant = fixture.retry.mayRetry(id, service, Reason::PeerUnreachable);
             if (!grant)
                 break;
@@ -83,13 +83,13 @@
     }
 
     // Simulates the attempt at the guard with the calls that its backend server makes, and returns the retries used.
-    uint32_t run(uint32_t level, const AttemptId& attempt, uint32_t lent)
+    uint32_t runAttempt(uint32_t level, const AttemptId& attempt, uint32_t lent)
     {
         ++attempts[level];
         fixture.board.attempts().update(attempt, [&](AttemptRecord& record) { record.context.retriesLeft = lent; });
         for (uint32_t i = 0; i < fanOut && level < depth; ++i) {
             const auto share = fixture.retry.lendToChild(attempt);
-            const auto used = enter(level + 1, share);
+            const auto used = runCall(level + 1, share);
             fixture.retry.returnFromChild(attempt, share, used);
         }
         uint32_t used = 0;
@@ -110,7 +110,7 @@
 BOOST_AUTO_TEST_CASE(ThenItIsRetriedUntilTheBudgetIsSpent)
 {
     Fixture fixture;
-    const auto id = fixture.enter(2);
+    const auto id = fixture.addEntry(2);
     const auto first = fixture.retry.mayRetry(id, "history", Reason::PeerUnreachable);
     BOOST_REQUIRE(first.has_value());
     BOOST_TEST(first->number == 1u);
@@ -123,28 +123,28 @@
 BOOST_AUTO_TEST_CASE(ThenOneThatMayHaveRunIsRetriedOnlyIfIdempotent)
 {
     Fixture fixture;
-    const auto booking = fixture.enter(2, false);
+    const auto booking = fixture.addEntry(2, false);
     BOOST_TEST(!fixture.retry.mayRetry(booking, "ledger", Reason::ConnectionLost));
     BOOST_TEST(fixture.retry.mayRetry(booking, "ledger", Reason::PeerUnreachable).has_value());
-    const auto lookUp = fixture.enter(2, true);
+    const auto lookUp = fixture.addEntry(2, true);
     BOOST_TEST(fixture.retry.mayRetry(lookUp, "ledger", Reason::ConnectionLost).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(ThenARefusalForLoadIsNotRetried)
 {
     Fixture fixture;
-    const auto id = fixture.enter(2);
+    const auto id = fixture.addEntry(2);
     BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ShedAtGuard));
     BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ShedAtEntry));
 }
 
-BOOST_AUTO_TEST_CASE(ThenWhatWasRetriedFurtherDownIsNotRetriedHere)
+BOOST_AUTO_TEST_CASE(ThenACauseRetriedDownstreamIsNotRetriedHere)
 {
     Fixture fixture;
-    const auto id = fixture.enter(3);
+    const auto id = fixture.addEntry(3);
     const auto lent = fixture.retry.lendToAttempt(id);
     fixture.retry.collect(id, lent, 1);
-    BOOST_TEST(fixture.left(id) == 2u);
+    BOOST_TEST(fixture.retriesLeft(id) == 2u);
     BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ConnectionLost));
 }
 
@@ -152,12 +152,12 @@
 
 BOOST_AUTO_TEST_SUITE(WhenItsCallsTakeTheirShares)
 
-BOOST_AUTO_TEST_CASE(ThenNothingIsMadeOrLost)
+BOOST_AUTO_TEST_CASE(ThenTheBudgetIsConserved)
 {
     BOOST_TEST(rc::check("budget conservation", [] {
         Fixture fixture;
         const auto total = *rc::gen::inRange(0U, 9U);
-        const auto id = fixture.enter(total);
+        const auto id = fixture.addEntry(total);
         const auto lent = fixture.retry.lendToAttempt(id);
         const AttemptId attempt { id, 0 };
         fixture.board.attempts().update(attempt, [&](AttemptRecord& record) { record.context.retriesLeft = lent; });
@@ -168,18 +168,18 @@
             spent += used;
             fixture.retry.returnFromChild(attempt, share, used);
         }
-        uint32_t told = 0;
-        fixture.board.attempts().visit(attempt, [&](AttemptRecord& record) { told = record.retriesUsed; });
-        RC_ASSERT(told == spent);
-        fixture.retry.collect(id, lent, told);
-        RC_ASSERT(fixture.left(id) + spent == total);
+        uint32_t reported = 0;
+        fixture.board.attempts().visit(attempt, [&](AttemptRecord& record) { reported = record.retriesUsed; });
+        RC_ASSERT(reported == spent);
+        fixture.retry.collect(id, lent, reported);
+        RC_ASSERT(fixture.retriesLeft(id) + spent == total);
     }));
 }
 
 BOOST_AUTO_TEST_CASE(ThenOneTryIsKeptWhenNoAnswerComes)
 {
     Fixture fixture;
-    const auto id = fixture.enter(budget);
+    const auto id = fixture.addEntry(retriesPerRequest);
     const auto lent = fixture.retry.lendToAttempt(id);
     fixture.retry.collect(id, lent, std::nullopt);
     BOOST_TEST(fixture.retry.mayRetry(id, "history", Reason::ConnectionLost).has_value());
@@ -196,11 +196,11 @@
         Fixture fixture;
         const auto depth = *rc::gen::inRange(1U, 8U);
         const auto fanOut = *rc::gen::inRange(1U, 3U);
-        Tree tree(fixture, depth, fanOut);
-        tree.answers = *rc::gen::arbitrary<bool>();
-        tree.enter(1, budget);
+        CallTree tree(fixture, depth, fanOut);
+        tree.hasAnswers = *rc::gen::arbitrary<bool>();
+        tree.runCall(1, retriesPerRequest);
         for (uint32_t level = 1; level <= depth; ++level)
-            RC_ASSERT(tree.attempts[level] <= (1 + budget) * power(fanOut, level - 1));
+            RC_ASSERT(tree.attempts[level] <= (1 + retriesPerRequest) * power(fanOut, level - 1));
     }));
 }
 
@@ -209,9 +209,9 @@
     Fixture fixture;
     constexpr uint32_t requests = 1000;
     for (const uint32_t depth : { 1U, 3U, 5U, 7U }) {
-        Tree tree(fixture, depth, 1);
+        CallTree tree(fixture, depth, 1);
         for (uint32_t i = 0; i < requests; ++i)
-            tree.enter(1, budget);
+            tree.runCall(1, retriesPerRequest);
         constexpr double reserve = 5;
         double bound = requests;
         for (uint32_t level = 1; level <= depth; ++level) {
@@ -235,7 +235,7 @@
     uint32_t retried = 0;
     for (int i = 0; i < 4000; ++i) {
         const bool isCall = fixture.random->unit() >= 0.05;
-        const auto id = fixture.enter(1);
+        const auto id = fixture.addEntry(1);
         fixture.board.entries().visit(id, [&](EntryRecord& entry) { entry.context.depth = isCall ? 2 : 1; });
         fixture.retry.noteFirstTry("briefings");
         if (fixture.random->unit() < 0.45)
@@ -249,7 +249,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenACallerIsToldToComeBack)
+BOOST_AUTO_TEST_SUITE(WhenACallerIsGivenARetryAfter)
 
 BOOST_AUTO_TEST_CASE(ThenTheTimeGrowsWithRefusalsAndVaries)
 {
