--- a/bench/AdmissionBench.cpp
+++ b/bench/AdmissionBench.cpp
@@ -128,7 +128,7 @@
 {
     if (node->placement.shedAtEntry(context))
         return;
-    node->retry.noteFirstTry(context.service);
+    node->retry.countFirstAttempt(context.service);
     const auto choice = node->placement.choose(context.service, {});
     node->placement.callStarted(*choice);
     const LoadFeedback feedback { .service = context.service, .running = 1, .limit = slots };
@@ -157,7 +157,7 @@
     run(state, [](RequestContext& context) {
         const auto id = context.attempt.request;
         node->board.entries().update(id, [&](EntryRecord& record) { record.context.retriesLeft = 3; });
-        benchmark::DoNotOptimize(node->retry.mayRetry(id, context.service, Reason::PeerUnreachable));
+        benchmark::DoNotOptimize(node->retry.acquireRetry(id, context.service, Reason::PeerUnreachable));
         node->board.entries().erase(id);
     });
 }
--- a/bench/FakeFleet.h
+++ b/bench/FakeFleet.h
@@ -224,7 +224,7 @@
         record.context = context;
         record.context.retriesLeft = context.depth == 1 ? Policy {}.retriesPerRequest : context.retriesLeft;
         node.board.entries().update(context.attempt.request, [&](EntryRecord& entry) { entry = record; });
-        node.retry.noteFirstTry(context.service);
+        node.retry.countFirstAttempt(context.service);
         auto call = std::make_shared<Call>(
             Call { tree, std::move(context), tier, std::move(parentRoute), std::move(reply), {}, 0 });
         attempt(node, call);
@@ -251,7 +251,7 @@
                 return;
             node.placement.callCompleted(
                 choice, { call->context, call->parentRoute, reason, feedback, m_events.now() - began });
-            node.retry.collect(call->context.attempt.request, call->lent, used);
+            node.retry.returnFromAttempt(call->context.attempt.request, call->lent, used);
             concluded(node, call, reason);
         };
         m_events.after(call->context.remaining + answerGrace, [end] { end(Reason::Timeout, nullptr, std::nullopt); });
@@ -275,7 +275,7 @@
             finishCall(node, call, reason);
             return;
         }
-        const auto grant = node.retry.mayRetry(call->context.attempt.request, call->context.service, reason);
+        const auto grant = node.retry.acquireRetry(call->context.attempt.request, call->context.service, reason);
         if (!grant) {
             finishCall(node, call, reason);
             return;
--- a/src/node/EntryRequest.cpp
+++ b/src/node/EntryRequest.cpp
@@ -160,7 +160,7 @@
         m_parentRoute = m_decision.parentRoute;
     }
     m_parts.control.entryLedger.open(m_decision.context, m_decision.deadline, parent, true);
-    m_parts.control.retry.noteFirstTry(service());
+    m_parts.control.retry.countFirstAttempt(service());
     m_body = std::make_shared<RequestBody>(m_exchange, m_decision.route->bodyLimit, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->watchCaller();
@@ -324,7 +324,7 @@
     attempt.feedback = refusal.feedback;
     attempt.reason = refusal.reason;
     attempt.retryAfter = refusal.retryAfter;
-    m_parts.control.retry.collect(id(), attempt.lent, attempt.usedBelow);
+    m_parts.control.retry.returnFromAttempt(id(), attempt.lent, attempt.usedBelow);
     const auto decision = m_parts.control.entryLedger.refused(attempt.id, refusal, mayRetry(refusal.reason));
     return decision.value_or(Decision { NextStep::AnswerCaller, Reason::Internal });
 }
@@ -333,7 +333,7 @@
 Task<Decision> EntryRequest::endWithoutAnswer(Attempt& attempt, AttemptEnd end)
 {
     auto& control = m_parts.control;
-    control.retry.collect(id(), attempt.lent, attempt.usedBelow);
+    control.retry.returnFromAttempt(id(), attempt.lent, attempt.usedBelow);
 
     // 1. What the end alone says.
     attempt.reason = end == AttemptEnd::NeverSent ? Reason::PeerUnreachable
@@ -366,7 +366,7 @@
 {
     attempt.usedBelow = head.retriesUsed;
     attempt.feedback = head.feedback;
-    m_parts.control.retry.collect(id(), attempt.lent, attempt.usedBelow);
+    m_parts.control.retry.returnFromAttempt(id(), attempt.lent, attempt.usedBelow);
     m_parts.latencies.added.record(m_parts.clock.now() - m_receivedAt - head.backendTime);
 
     // 1. The head.
@@ -409,7 +409,7 @@
         return false;
     if (m_parts.clock.now() >= m_decision.deadline)
         return false;
-    return m_parts.control.retry.mayRetry(id(), service(), reason).has_value();
+    return m_parts.control.retry.acquireRetry(id(), service(), reason).has_value();
 }
 
 // Tells placement how the attempt went.
@@ -441,7 +441,7 @@
     }
     const auto target = m_decision.route ? m_decision.route->targetLatency : Duration(0);
     if (target > Duration(0) && reason != Reason::OverRate)
-        retryAfter = m_parts.control.retry.retryWithin(target);
+        retryAfter = m_parts.control.retry.retryAfterForTarget(target);
     else if (retryAfter <= Duration(0))
         retryAfter = m_parts.control.retry.retryAfter(service(), reason);
     m_retryAfter = retryAfter;
--- a/src/retry/Retry.cpp
+++ b/src/retry/Retry.cpp
@@ -140,7 +140,7 @@
 
 // Tokens come from first attempts, so that a service that fails every request gets only a fixed fraction of extra load
 // and no retry storm.
-void Retry::noteFirstTry(std::string_view service)
+void Retry::countFirstAttempt(std::string_view service)
 {
     const double fraction = m_state->policy().retryFraction;
     m_state->budgets.update(ServiceName(service), [&](State::ServiceBudget& budget) {
@@ -151,7 +151,7 @@
 }
 
 // Both budgets must have a retry left. The entry's retry is refunded if the service has none.
-std::optional<RetryGrant> Retry::mayRetry(const RequestId& id, std::string_view service, Reason reason)
+std::optional<RetryGrant> Retry::acquireRetry(const RequestId& id, std::string_view service, Reason reason)
 {
     // 1. The request's own budget.
     auto& counters = m_state->board.counters();
@@ -191,7 +191,7 @@
 }
 
 // An attempt without an answer may have used all retries lent to it, so they all count as spent.
-void Retry::collect(const RequestId& id, uint32_t lent, std::optional<uint32_t> used)
+void Retry::returnFromAttempt(const RequestId& id, uint32_t lent, std::optional<uint32_t> used)
 {
     if (m_state->strategy == RetryStrategy::NoBudget)
         return;
@@ -241,7 +241,7 @@
     return m_state->random.jittered(base, jitterFraction);
 }
 
-Duration Retry::retryWithin(Duration targetLatency)
+Duration Retry::retryAfterForTarget(Duration targetLatency)
 {
     const auto delay = static_cast<double>(targetLatency.count()) * targetLatencyFraction;
     return m_state->random.jittered(Duration(static_cast<Duration::rep>(delay)), targetJitterFraction);
--- a/src/retry/Retry.h
+++ b/src/retry/Retry.h
@@ -32,17 +32,17 @@
     ~Retry();
 
     /// Counts a first attempt, which adds a fraction of a retry to the service's budget.
-    void noteFirstTry(std::string_view service);
+    void countFirstAttempt(std::string_view service);
     /// Takes one retry from both the entry's and the service's budget. Returns nothing if either is exhausted, if a
     /// retry cannot help or would be unsafe, or if downstream calls have already retried for this cause. The entry must
-    /// hold its budget again: call this after collect().
-    std::optional<RetryGrant> mayRetry(const RequestId&, std::string_view service, Reason);
+    /// hold its budget again: call this after returnFromAttempt().
+    std::optional<RetryGrant> acquireRetry(const RequestId&, std::string_view service, Reason);
 
     /// Takes all but one of the entry's retries, to be sent with an attempt in RequestContext::retriesLeft.
     uint32_t lendToAttempt(const RequestId&);
     /// Returns an attempt's unused retries to the entry. `used` is the count reported in the answer; without an answer
     /// pass nothing, and all lent retries count as used. For an attempt that was never sent pass 0.
-    void collect(const RequestId&, uint32_t lent, std::optional<uint32_t> used);
+    void returnFromAttempt(const RequestId&, uint32_t lent, std::optional<uint32_t> used);
 
     /// Takes a call's share from the running attempt that makes it, for the call's EntryRecord: half of the remaining
     /// retries, rounded up, so that concurrent calls do not starve each other.
@@ -53,7 +53,7 @@
     /// Delay after which a refused caller should retry, with jitter so that callers do not retry in lockstep.
     Duration retryAfter(std::string_view service, Reason);
     /// As retryAfter(), for requests with a target latency: short enough that the retry can still meet the target.
-    Duration retryWithin(Duration targetLatency);
+    Duration retryAfterForTarget(Duration targetLatency);
 
 private:
     struct State;
--- a/tests/EntryTests.cpp
+++ b/tests/EntryTests.cpp
@@ -351,7 +351,7 @@
 BOOST_AUTO_TEST_CASE(ThenRetryAfterLeavesTimeForTheTargetLatency)
 {
     for (int i = 0; i < 100; ++i) {
-        const auto wait = retry.retryWithin(milliseconds(1500));
+        const auto wait = retry.retryAfterForTarget(milliseconds(1500));
         BOOST_TEST((wait >= milliseconds(450)));
         BOOST_TEST((wait <= milliseconds(750)));
     }
--- a/tests/RetryTests.cpp
+++ b/tests/RetryTests.cpp
@@ -65,13 +65,13 @@
     {
         const auto id = fixture.addEntry(retries);
         const auto service = "service-" + std::to_string(level);
-        fixture.retry.noteFirstTry(service);
+        fixture.retry.countFirstAttempt(service);
         AttemptId attempt { id, 0 };
         for (;;) {
             const auto lent = fixture.retry.lendToAttempt(id);
             const auto used = runAttempt(level, attempt, lent);
-            fixture.retry.collect(id, lent, hasAnswers ? std::optional(used) : std::nullopt);
-            const auto grant = fixture.retry.mayRetry(id, service, Reason::PeerUnreachable);
+            fixture.retry.returnFromAttempt(id, lent, hasAnswers ? std::optional(used) : std::nullopt);
+            const auto grant = fixture.retry.acquireRetry(id, service, Reason::PeerUnreachable);
             if (!grant)
                 break;
             attempt.number = grant->number;
@@ -111,11 +111,11 @@
 {
     Fixture fixture;
     const auto id = fixture.addEntry(2);
-    const auto first = fixture.retry.mayRetry(id, "history", Reason::PeerUnreachable);
+    const auto first = fixture.retry.acquireRetry(id, "history", Reason::PeerUnreachable);
     BOOST_REQUIRE(first.has_value());
     BOOST_TEST(first->number == 1u);
-    BOOST_TEST(fixture.retry.mayRetry(id, "history", Reason::PeerUnreachable)->number == 2u);
-    BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::PeerUnreachable));
+    BOOST_TEST(fixture.retry.acquireRetry(id, "history", Reason::PeerUnreachable)->number == 2u);
+    BOOST_TEST(!fixture.retry.acquireRetry(id, "history", Reason::PeerUnreachable));
     BOOST_TEST(fixture.board.counters().retries(Reason::PeerUnreachable) == 2u);
     BOOST_TEST(fixture.board.counters().value(Counter::RetriesWithoutBudget) == 1u);
 }
@@ -124,18 +124,18 @@
 {
     Fixture fixture;
     const auto booking = fixture.addEntry(2, false);
-    BOOST_TEST(!fixture.retry.mayRetry(booking, "ledger", Reason::ConnectionLost));
-    BOOST_TEST(fixture.retry.mayRetry(booking, "ledger", Reason::PeerUnreachable).has_value());
+    BOOST_TEST(!fixture.retry.acquireRetry(booking, "ledger", Reason::ConnectionLost));
+    BOOST_TEST(fixture.retry.acquireRetry(booking, "ledger", Reason::PeerUnreachable).has_value());
     const auto lookUp = fixture.addEntry(2, true);
-    BOOST_TEST(fixture.retry.mayRetry(lookUp, "ledger", Reason::ConnectionLost).has_value());
+    BOOST_TEST(fixture.retry.acquireRetry(lookUp, "ledger", Reason::ConnectionLost).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(ThenARefusalForLoadIsNotRetried)
 {
     Fixture fixture;
     const auto id = fixture.addEntry(2);
-    BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ShedAtGuard));
-    BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ShedAtEntry));
+    BOOST_TEST(!fixture.retry.acquireRetry(id, "history", Reason::ShedAtGuard));
+    BOOST_TEST(!fixture.retry.acquireRetry(id, "history", Reason::ShedAtEntry));
 }
 
 BOOST_AUTO_TEST_CASE(ThenACauseRetriedDownstreamIsNotRetriedHere)
@@ -143,9 +143,9 @@
     Fixture fixture;
     const auto id = fixture.addEntry(3);
     const auto lent = fixture.retry.lendToAttempt(id);
-    fixture.retry.collect(id, lent, 1);
+    fixture.retry.returnFromAttempt(id, lent, 1);
     BOOST_TEST(fixture.retriesLeft(id) == 2u);
-    BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ConnectionLost));
+    BOOST_TEST(!fixture.retry.acquireRetry(id, "history", Reason::ConnectionLost));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -171,7 +171,7 @@
         uint32_t reported = 0;
         fixture.board.attempts().visit(attempt, [&](AttemptRecord& record) { reported = record.retriesUsed; });
         RC_ASSERT(reported == spent);
-        fixture.retry.collect(id, lent, reported);
+        fixture.retry.returnFromAttempt(id, lent, reported);
         RC_ASSERT(fixture.retriesLeft(id) + spent == total);
     }));
 }
@@ -181,9 +181,9 @@
     Fixture fixture;
     const auto id = fixture.addEntry(retriesPerRequest);
     const auto lent = fixture.retry.lendToAttempt(id);
-    fixture.retry.collect(id, lent, std::nullopt);
-    BOOST_TEST(fixture.retry.mayRetry(id, "history", Reason::ConnectionLost).has_value());
-    BOOST_TEST(!fixture.retry.mayRetry(id, "history", Reason::ConnectionLost));
+    fixture.retry.returnFromAttempt(id, lent, std::nullopt);
+    BOOST_TEST(fixture.retry.acquireRetry(id, "history", Reason::ConnectionLost).has_value());
+    BOOST_TEST(!fixture.retry.acquireRetry(id, "history", Reason::ConnectionLost));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -237,10 +237,10 @@
         const bool isCall = fixture.random->unit() >= 0.05;
         const auto id = fixture.addEntry(1);
         fixture.board.entries().visit(id, [&](EntryRecord& entry) { entry.context.depth = isCall ? 2 : 1; });
-        fixture.retry.noteFirstTry("briefings");
+        fixture.retry.countFirstAttempt("briefings");
         if (fixture.random->unit() < 0.45)
             continue;
-        const bool granted = fixture.retry.mayRetry(id, "briefings", Reason::ServerBusy).has_value();
+        const bool granted = fixture.retry.acquireRetry(id, "briefings", Reason::ServerBusy).has_value();
         rejected += !isCall;
         retried += !isCall && granted;
     }
@@ -255,7 +255,7 @@
 {
     Fixture fixture;
     for (int i = 0; i < 100; ++i)
-        fixture.retry.noteFirstTry("history");
+        fixture.retry.countFirstAttempt("history");
     const auto early = fixture.retry.retryAfter("history", Reason::ShedAtGuard);
     Duration late { 0 };
     bool varies = false;
