--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-    // Calls per request of a route from which on its requests are taken to need the called route.
+    // Calls per request from which a route is assumed to require the called route.
     constexpr double neededCalls = 0.5;
-    // Requests to count before their calls are believed.
+    // Requests to count before the call ratios are used.
     constexpr double requestsToLearn = 8;
-    // Age at which a shed record counts no more.
+    // Time-to-live of a shed record.
     constexpr Duration shedRecordLife = seconds(1);
-    // Requests that pass although they would be shed further down, to learn when that ends: about one a second at each
-    // guard while a hundred come.
+    // Share of requests let through as probes although they would be shed downstream, to detect when shedding stops:
+    // about one per second and guard at 100 requests per second.
     constexpr double probeFraction = 0.01;
 
 } // namespace
@@ -35,12 +35,12 @@
     {
     }
 
-    // A backend server as it announced itself here.
+    // Announcement of a local backend server.
     struct Announced : ServerAnnouncement {
         std::optional<Duration> coldLeft;
     };
 
-    // Nothing when there is none.
+    // Empty if the service has no local backend server.
     std::optional<Announced> announced(const ServiceName& service)
     {
         std::optional<Announced> found;
@@ -67,7 +67,7 @@
         return gate;
     }
 
-    // Declared slots are a ceiling twice over: by the configuration and by the announcement.
+    // The configuration and the announcement both cap the slots: the lower value applies.
     GateSettings settingsOf(const ServiceName& service, const Announced& announcement) const
     {
         GateSettings settings { .slots = announcement.slots, .generation = announcement.generation };
@@ -83,7 +83,7 @@
         return settings;
     }
 
-    // The load of a backend server, shed levels being those of the account if one is given.
+    // Load of a backend server; the shed level is the account's if one is given.
     LoadFeedback loadOf(const ServiceName& service, std::optional<std::string_view> account)
     {
         LoadFeedback load;
@@ -95,7 +95,7 @@
         return load;
     }
 
-    // Routes that most requests of this route go on to call.
+    // Downstream routes that most requests of this route call.
     std::vector<RouteName> neededRoutes(const RouteName& route)
     {
         std::vector<RouteName> needed;
@@ -114,7 +114,7 @@
     {
         double level = 0;
         for (const auto& route : neededRoutes(context.route)) {
-            // Routes that are open to all are called on behalf of no account.
+            // Calls to open routes carry no account.
             for (const auto& account : { context.account, AccountName() }) {
                 board.shedRecords().visit({ route, account }, [&](ShedRecord& record) {
                     if (clock.now() - record.at < shedRecordLife)
@@ -125,8 +125,8 @@
         return level;
     }
 
-    // Whether a request that enters the tree here would be shed further down, so that all work for it would be wasted.
-    // The guards of a service see all its requests, and know such loads when an entry that has few of them does not.
+    // Whether a request at the root of its call tree would be shed downstream, which would waste all work done for it.
+    // A service's guards see all its requests, so they know of downstream load that an entry with few requests misses.
     bool isShedBelow(const RequestContext& context, double level)
     {
         if (strategy != AdmissionStrategy::Adaptive || !context.parentKnown || context.depth > 1)
@@ -137,7 +137,7 @@
         if (sheddingHeight(context) < level && random.unit() >= probeFraction)
             return true;
 
-        // What passes stands for what does not, so that the demand is seen where it is too high.
+        // Weights the requests let through for the shed ones, so that the overloaded service sees the full demand.
         board.attempts().visit(context.attempt, [&](AttemptRecord& record) {
             const double passing = survival + (1 - survival) * probeFraction;
             record.context.represents = std::max(record.context.represents, 1 / passing);
@@ -159,7 +159,7 @@
 
 Admission::~Admission() = default;
 
-// A backend server that has left, or is leaving, gets no new work from this moment on.
+// A backend server that is draining or gone gets no new work.
 AdmissionDecision Admission::offer(const RequestContext& context, Instant deadline)
 {
     const auto announcement = m_state->announced(context.service);
@@ -180,7 +180,7 @@
 {
     auto* gate = m_state->existingGate(ServiceName(service));
     const auto route = gate ? gate->finished(attempt, end) : std::nullopt;
-    // One that was refused or failed may not have made all its calls.
+    // Attempts that were refused or failed may not have made all their calls.
     if (route && end == AdmittedEnd::Served)
         m_state->board.routeCalls().visit(*route, [](RouteCallsRecord& record) { record.requests += 1; });
 }
--- a/src/admission/Admission.h
+++ b/src/admission/Admission.h
@@ -1,71 +1,71 @@
-/// Admission before the backend servers beside this node: who starts now, who waits briefly, who is refused.
+/// Admission control for the backend servers local to this node: which attempts start, wait briefly or are refused.
 ///
-/// A pure decision over the board: each local backend server has a gate with an adaptive concurrency limit, a short
-/// queue ordered by worth, and a budget of requests per second from which the shed level follows. Nothing blocks, and
-/// no lock is held while calling out. All functions may be called from several threads at once.
+/// Decides from the board only. Each local backend server has a gate with an adaptive concurrency limit, a short
+/// priority queue, and a budget of requests per second that determines the shed level. Nothing blocks, and no lock is
+/// held while calling out. All functions are thread-safe.
 #pragma once
 
 #include "board/Board.h"
 
 namespace Vanillaridge {
 
-/// What an offer leads to.
+/// Result of offering an attempt.
 enum class AdmissionVerdict : uint8_t {
-    /// Start now; `finished` must follow.
+    /// Start now; the caller must call `finished` afterwards.
     Admitted,
-    /// Keep it; exactly one AdmissionChange will follow, unless `abandon` comes first.
+    /// Queued; exactly one AdmissionChange follows, unless `abandon` is called first.
     Waiting,
-    /// Not run.
+    /// Must not run.
     Refused,
 };
 
 struct AdmissionDecision {
     AdmissionVerdict verdict { AdmissionVerdict::Refused };
-    /// Why it is refused; None otherwise.
+    /// Cause of a refusal; None otherwise.
     Reason reason { Reason::None };
-    /// When to try again; 0 when not refused.
+    /// Delay before a retry; 0 when not refused.
     Duration retryAfter { 0 };
-    /// Time at the backend server that the gate expected it to need when it decided; 0 when nothing was known.
+    /// Service time at the backend server that the gate expected when it decided; 0 if unknown.
     Duration expected { 0 };
 };
 
-/// What became of an attempt that was told to wait: Admitted or Refused.
+/// Decision on a waiting attempt: Admitted or Refused.
 struct AdmissionChange {
     AttemptId attempt;
     ServiceName service;
     AdmissionDecision decision;
 };
 
-/// How an admitted attempt ended, as far as load is concerned.
+/// How an admitted attempt completed, as far as load is concerned.
 enum class AdmittedEnd : uint8_t {
     /// The backend server answered.
     Served,
-    /// It failed for a cause other than load.
+    /// The attempt failed for a cause other than load.
     Failed,
-    /// It was cancelled or its time ran out before the answer.
+    /// The attempt was cancelled or reached its deadline before the answer.
     Cancelled,
-    /// The backend server itself signalled overload (429, 503 or a refused connection).
+    /// The backend server signalled overload (429, 503 or a refused connection).
     Overloaded,
 };
 
-/// What last moved the concurrency limit of a backend server.
+/// Cause of the last change to a backend server's concurrency limit.
 enum class LimitCause : uint8_t { None, Rejections, Latency, Growth };
 std::string_view toText(LimitCause);
 
-/// How a backend server's concurrency limit came to be what it is.
+/// What determined a backend server's current concurrency limit.
 struct LimitReport {
     LimitCause cause { LimitCause::None };
-    /// Share of the attempts that the backend server rejected, of those that ended in the last window.
+    /// Share of the attempts completed in the last window that the backend server rejected.
     double rejectedShare { 0 };
 };
 
-/// Ways to control admission. Adaptive is the product's; the others are baselines for measurement.
+/// Admission control strategies. Production uses Adaptive; the others are baselines for measurement.
 enum class AdmissionStrategy : uint8_t {
     Adaptive,
     NoControl,
     StaticLimit,
     QueueDelay,
-    /// Like Adaptive, but without regard to loads further down.
+    /// Like Adaptive, but ignores the load of downstream services.
     AdaptiveAlone,
 };
 
@@ -74,24 +74,21 @@
     Admission(Board&, Clock&, RandomSource&, AdmissionStrategy = AdmissionStrategy::Adaptive);
     ~Admission();
 
-    /// Decides on a new attempt for a backend server beside this node. An attempt that is offered twice is refused
-    /// as Duplicate.
+    /// Decides on a new attempt for a local backend server. An attempt that is offered twice is refused as Duplicate.
     AdmissionDecision offer(const RequestContext&, Instant deadline);
-    /// Frees the slot of an admitted attempt; unknown attempts are ignored. Call settle() next.
+    /// Frees the slot of an admitted attempt; ignores unknown attempts. Call settle() next.
     void finished(std::string_view service, const AttemptId&, AdmittedEnd);
-    /// The caller has left while its attempt waits: no change will be reported for it.
+    /// Removes a waiting attempt whose caller has gone away; no change is reported for it.
     void abandon(std::string_view service, const AttemptId&);
-    /// Decides on waiting attempts: which of them start, and which are refused. To be called after finished() and
-    /// every few milliseconds.
+    /// Starts or refuses waiting attempts. Call after finished() and every few milliseconds.
     std::vector<AdmissionChange> settle();
 
-    /// The load of one backend server, all accounts taken together.
+    /// Load of a backend server over all accounts.
     LoadFeedback feedback(std::string_view service) const;
-    /// The load as it concerns requests like this one: its shedLevel is that of the request's account, and takes in
-    /// what is shed by services that requests of this route go on to call, and the lag of this node. To be sent with
-    /// each answer.
+    /// Load as it affects requests like this one, to be sent with each answer. Its shedLevel is that of the request's
+    /// account and includes the load shedding of downstream services that the route calls, and the lag of this node.
     LoadFeedback feedback(const RequestContext&) const;
-    /// For logs and metrics; empty while no attempt came for the service.
+    /// For logs and metrics; empty before the service's first attempt.
     LimitReport limitReport(std::string_view service) const;
 
 private:
--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -6,37 +6,37 @@
 
 namespace {
 
-    // A window closes when it is so long and has as many ends as fill the slots a few times, or at its longest. That is
-    // longer while rejections are too few to be told from chance.
+    // A window closes at its maximum length, or from the minimum length on once its completions fill the slots a few
+    // times. The maximum is longer while rejections are too few to be significant.
     constexpr Duration shortestWindow = milliseconds(100);
     constexpr Duration longestWindow = seconds(1);
     constexpr Duration longestWithRejections = seconds(4);
     constexpr double turnsPerWindow = 4;
     constexpr double fewestEnds = 50;
     constexpr double mostEnds = 200;
-    // Share of the ceiling below which the limit never goes.
+    // Lower bound of the limit, as a share of the ceiling.
     constexpr double floorFraction = 0.05;
-    // Rejections in a window from which on they can be told from chance.
+    // Rejections in a window from which they are statistically significant.
     constexpr uint32_t manyRejections = 10;
-    // Rejections that a lower limit did not better are tried again at once when there are so many times as many.
+    // A value that a lower limit did not reduce is tried again at once when it rises by this factor.
     constexpr double worseThanUnexplained = 2;
-    // Odds that stand for rejections of everything.
+    // Odds reported when every request is rejected.
     constexpr double allRejected = 1e6;
-    // Slow growth for some time after a trial for rejections.
+    // The limit grows slowly for this long after a trial for rejections, and fast otherwise.
     constexpr Duration rejectionMemory = seconds(2);
     constexpr double slowGrowth = 1.02;
     constexpr double fastGrowth = 1.25;
-    // Latency over baseline that makes a trial worth while, and the baseline's drift per window.
+    // Ratio of latency to baseline that justifies a trial, and the upward drift of the baseline per window.
     constexpr double suspiciousLatency = 1.5;
     constexpr double baselineDrift = 1.02;
-    // What a trial lowers the limit to, as a share of the limit, or of what the server has taken at once.
+    // Limit during a trial, as a share of the limit before it, or of the concurrency that the server sustained.
     constexpr double trialFraction = 0.9;
-    // A trial succeeds if it leaves this of the rejections, or of the latency.
+    // A trial succeeds if it reduces the rejections or the latency to this share.
     constexpr double rejectionsAfterTrial = 0.5;
     constexpr double latencyAfterTrial = 0.95;
     constexpr Duration firstTrialPause = seconds(4);
     constexpr Duration longestTrialPause = seconds(32);
-    // Share of the ceiling that a backend server starts with after a cold start.
+    // Share of the limit that applies right after a cold start.
     constexpr double coldFraction = 0.2;
 
 } // namespace
@@ -60,7 +60,7 @@
     m_slowStart = slowStart;
 }
 
-// Rises evenly from a small share to all of the limit while the backend server warms up.
+// Rises linearly from a small share to the full limit during slow start.
 uint32_t ConcurrencyLimit::current(Instant now) const
 {
     double share = 1;
@@ -106,7 +106,7 @@
     m_report.rejectedShare = double(m_window.rejections) / all;
     noteBaseline();
 
-    // 1. A trial under way goes on; otherwise one may begin.
+    // 1. Continue a running trial, or start one.
     auto& rejections = findingsOf(Signal::Rejections);
     if (m_trial != Trial::None) {
         judgeTrial(now);
@@ -120,13 +120,13 @@
     if (!saturated || startTrial(now, Signal::Latency))
         return;
 
-    // 2. The limit grows unless it may be what causes rejections or latency.
+    // 2. Grow the limit unless concurrency may be the cause of rejections or latency.
     const bool maybeForLoad = rejectsMany() && rejectionOdds() > worseThanUnexplained * rejections.unexplained;
     if (m_window.ends && !maybeForLoad && !takesLong())
         grow(now - m_rejectedAt < rejectionMemory ? slowGrowth : fastGrowth);
 }
 
-// The shortest latency of late; it drifts up so that it forgets.
+// Tracks the lowest recent latency; the upward drift lets old minima expire.
 void ConcurrencyLimit::noteBaseline()
 {
     if (!m_window.ends)
@@ -135,9 +135,7 @@
     m_baseline = m_baseline > 0 ? std::min(mean, m_baseline * baselineDrift) : mean;
 }
 
-// --- Signals --------------------------------------------------------------------------------------------------------
-
-// Rejections for each request that was taken: how many more are sent than there is room for, whatever the limit.
+// Rejections per accepted request: the excess over the server's capacity, independent of the limit.
 double ConcurrencyLimit::rejectionOdds() const
 {
     if (!m_window.ends)
@@ -154,7 +152,7 @@
 
 bool ConcurrencyLimit::takesLong() const { return meanLatency() > suspiciousLatency * m_baseline; }
 
-// What the backend server had at work at once, by Little's law; where it took nothing, what ran when it rejected.
+// Concurrency at the backend server by Little's law; if it accepted nothing, the lowest concurrency at a rejection.
 double ConcurrencyLimit::limitWithoutRejections(Instant now) const
 {
     const double atWork = inSeconds(m_window.latencySum) / inSeconds(now - m_window.since);
@@ -163,8 +161,6 @@
 
 double ConcurrencyLimit::limitSlightlyLower(Instant) const { return trialFraction * m_limit; }
 
-// --- Trials ---------------------------------------------------------------------------------------------------------
-
 bool ConcurrencyLimit::startTrial(Instant now, Signal signal)
 {
     const auto& row = signals[static_cast<size_t>(signal)];
@@ -185,7 +181,7 @@
     return true;
 }
 
-// The first window after the change still holds attempts from before it, so the second one counts.
+// The first window after the change still includes attempts from before it, so the second one is evaluated.
 void ConcurrencyLimit::judgeTrial(Instant now)
 {
     if (m_trial == Trial::Settling) {
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -1,22 +1,21 @@
-/// How many requests a backend server may work on at once, learnt from its latency and its own overload signals.
+/// Adaptive concurrency limit of a backend server, based on its latency and its overload signals.
 #pragma once
 
 #include "admission/Admission.h"
 
 namespace Vanillaridge {
 
-/// Starts at the ceiling, which is what the backend server declared, and goes below it only where a trial shows that it
-/// does better when fewer run at once: that it rejects fewer of its requests, or answers them sooner. Neither
-/// rejections nor a longer latency alone are evidence, since a server may reject a share of all requests, or have
-/// slower work to do, however few run. Not safe for several threads; its gate's lock protects it.
+/// Starts at the ceiling declared for the backend server and goes below it only if a trial shows that lower concurrency
+/// reduces rejections or latency. Rejections or higher latency alone are no evidence, since a server may reject a share
+/// of all requests, or have slower work to do, at any concurrency. Not thread-safe; protected by the gate's lock.
 class ConcurrencyLimit {
 public:
-    /// Ceiling, and how the backend server may be ramped up after a cold start.
+    /// Sets the ceiling and the slow start that ramps up the limit after a cold start.
     void configure(uint32_t slots, Instant coldSince, Duration slowStart);
     uint32_t current(Instant) const;
-    /// Notes an attempt's end, its time at the backend server, and how many were running.
+    /// Records a completed attempt, its service time, and the number of attempts that were running.
     void noteEnd(AdmittedEnd, Duration serviceTime, uint32_t running);
-    /// To be called every few milliseconds; `saturated` tells whether the limit holds requests back.
+    /// Call every few milliseconds; `saturated` says whether the limit is holding requests back.
     void update(Instant, bool saturated);
     const LimitReport& report() const { return m_report; }
 
@@ -30,19 +29,19 @@
         uint32_t saturatedUpdates { 0 };
         uint32_t updates { 0 };
     };
-    // What may speak for a lower limit.
+    // Signals that may indicate that a lower limit is better.
     enum class Signal : uint8_t { Rejections, Latency };
     enum class Trial : uint8_t { None, Settling, Measuring };
-    // How a signal is measured, where less is better, and judged.
+    // How a signal is measured (lower is better) and evaluated.
     struct SignalRow {
         double (ConcurrencyLimit::*measured)() const;
         bool (ConcurrencyLimit::*isSuspicious)() const;
         double (ConcurrencyLimit::*limitForTrial)(Instant) const;
-        // Share of what was measured before to which a trial has to bring it.
+        // A trial succeeds if it reduces the measured value to this share.
         double shareAfterTrial;
         LimitCause cause;
     };
-    // When a signal may be tried again, and what a lower limit did not better.
+    // Earliest next trial of a signal, its backoff, and the measured value that a lower limit did not reduce.
     struct Findings {
         Instant nextTrial;
         Duration pause { 0 };
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -8,28 +8,28 @@
 
 namespace {
 
-    // How often the budget is worked out, settings are read again, and the queue is looked through.
+    // Intervals for updating the budget, reading settings again, scanning the queue, and expiring service times.
     constexpr Duration updatePeriod = milliseconds(20);
     constexpr Duration settingsPeriod = milliseconds(50);
     constexpr Duration scanPeriod = milliseconds(1);
     constexpr Duration forgetPeriod = seconds(1);
-    // Weight of a new sample in the smoothed times.
+    // EWMA weight of a new sample of service or queue time.
     constexpr double timeSmoothing = 0.05;
-    // While nothing is served, the smoothed service time is forgotten: a wrong one must not refuse everything for good.
+    // Decay of the average service time while nothing is served: a wrong average must not refuse all requests forever.
     constexpr double serviceTimeMemory = 1; // seconds
     constexpr double shortestQueue = 4;
-    // Lag of the node at which its event loop counts as full. Work is shed from half of it on, and steered to a
-    // quarter: a request of the deployments served passes a lagging node some twenty times (five calls in a row, each
-    // there and back at two nodes), and has 1.5 s.
+    // Event loop lag at which the node counts as full. Shedding starts at half of it and steers the lag to a quarter:
+    // in the deployments served, a request has 1.5 s and passes a lagging node about twenty times (five sequential
+    // calls, each with request and response at two nodes).
     constexpr Duration fullLag = milliseconds(20);
-    // Baseline: drops by delay start when requests have waited this long for that time.
+    // QueueDelay baseline: dropping starts once the delay has exceeded the target for the interval, as in CoDel.
     constexpr Duration delayTarget = milliseconds(5);
     constexpr Duration delayInterval = milliseconds(100);
     constexpr Duration shortestRetryAfter = milliseconds(250);
     constexpr Duration retryAfterPerLevel = seconds(2);
     constexpr double retryAfterJitter = 0.5;
 
-    // Calls to open routes come for all accounts, and are not one large account.
+    // Calls to open routes carry no account. They are made for all accounts and do not count as one large account.
     double levelFor(const ShedBudget& budget, std::string_view account)
     {
         return account.empty() ? budget.level() : budget.level(account);
@@ -59,7 +59,7 @@
     return !m_configured || m_clock.now() - m_configuredAt >= settingsPeriod;
 }
 
-// A new generation of the backend server starts cold.
+// A new generation of the backend server begins with a cold start.
 void Gate::configure(const GateSettings& settings)
 {
     std::lock_guard guard(m_lock);
@@ -74,15 +74,13 @@
     m_limit.configure(settings.slots, m_coldSince, settings.slowStart);
 }
 
-// --- Strategies ---------------------------------------------------------------------------------------------------
-
 uint32_t Gate::adaptiveLimit(Instant now) const { return m_limit.current(now); }
 
 uint32_t Gate::noLimit(Instant) const { return std::numeric_limits<uint32_t>::max(); }
 
 uint32_t Gate::declaredLimit(Instant) const { return m_settings.slots; }
 
-// A call whose request is not known here cannot be shed together with it: load is told to where requests enter instead.
+// A call with an unknown parent cannot be shed together with its request. Load is reported to where requests enter.
 bool Gate::isShedByLevel(const RequestContext& context) const
 {
     return context.parentKnown && sheddingHeight(context) < levelFor(m_budget, context.account);
@@ -98,7 +96,7 @@
 
 Gate::Place Gate::placeByArrival(const RequestContext&) { return { lowestRank, true, 0, ++m_sequence }; }
 
-// The most important wait for as long as they can still finish: those less important make way for them.
+// Critical requests wait as long as they can meet their deadline; less important ones are dropped in their favor.
 bool Gate::isDroppedUnlessCritical(const Ticket& ticket, Instant now)
 {
     const bool makesWay = ticket.parentKnown && ticket.place.rank.account != Importance::Critical;
@@ -109,7 +107,7 @@
 
 bool Gate::isNeverDropped(const Ticket&, Instant) { return false; }
 
-// Drops one request at a time, more and more often while the delay stays above its target.
+// Drops single requests at shrinking intervals while the delay stays above its target, as in CoDel.
 bool Gate::isDroppedByDelay(const Ticket& ticket, Instant now)
 {
     if (now - ticket.since < delayTarget) {
@@ -125,15 +123,14 @@
     return true;
 }
 
-// --- Offers -------------------------------------------------------------------------------------------------------
-
 AdmissionDecision Gate::offer(const RequestContext& context, Instant deadline, RoomBelow below)
 {
     std::lock_guard guard(m_lock);
     const auto now = m_clock.now();
 
-    // 1. Once only, and only if there is time for it. Where room is short here, what cannot be finished makes way;
-    // where it is short further down, also new work that will probably not be. Otherwise trying costs nobody anything.
+    // 1. Refuse duplicates and requests that cannot meet their deadline. If local capacity is short, these are requests
+    // with less time than most need at least; if downstream capacity is short, also new work that will probably miss
+    // its deadline. With spare capacity, an attempt costs other requests nothing.
     if (m_tickets.contains(context.attempt))
         return refusal(Reason::Duplicate);
     m_budget.noteOffer(context.rank, context.account, context.represents);
@@ -147,7 +144,7 @@
     if (ticket.cannotFinish(now))
         return refusal(Reason::DeadlineExceeded, ticket.expected);
 
-    // 2. A free slot is used, whatever the shed level.
+    // 2. Use a free slot regardless of the shed level.
     if (isFree) {
         const auto expected = ticket.expected;
         start(m_tickets.emplace(context.attempt, std::move(ticket)).first->second, now);
@@ -156,14 +153,14 @@
     return enqueueOrRefuse(context, std::move(ticket));
 }
 
-// What is refused here is always the least worthy of those who wait and the one that came.
+// Refuses the lowest priority among the waiting requests and the new one.
 AdmissionDecision Gate::enqueueOrRefuse(const RequestContext& context, Ticket ticket)
 {
     m_saturated = true;
     const Place place = (this->*m_strategy.place)(context);
 
-    // 1. Shed by level or by a full queue, unless something less important waits, which then goes in its place. A call
-    // that waits makes way only in a full queue.
+    // 1. Shed by level or because the queue is full. If a less important request is waiting, evict that one instead; a
+    // waiting call is evicted only when the queue is full.
     const bool isFull = double(m_queue.size()) >= queueCapacity() * m_strategy.queueFactor;
     const bool isShed = (this->*m_strategy.isShed)(context);
     m_overflowed |= isFull;
@@ -176,7 +173,7 @@
         evictWorst(Reason::ShedAtGuard);
     }
 
-    // 2. It waits.
+    // 2. Enqueue.
     ticket.place = place;
     ticket.parentKnown = context.parentKnown;
     ticket.waiting = true;
@@ -207,8 +204,6 @@
     m_queue.erase(waiting);
 }
 
-// --- Ends ---------------------------------------------------------------------------------------------------------
-
 std::optional<RouteName> Gate::finished(const AttemptId& attempt, AdmittedEnd end)
 {
     std::lock_guard guard(m_lock);
@@ -250,8 +245,6 @@
     m_tickets.erase(found);
 }
 
-// --- Decisions on those who wait ------------------------------------------------------------------------------------
-
 void Gate::settle(std::string_view service, Duration lag, std::vector<AdmissionChange>& changes)
 {
     std::lock_guard guard(m_lock);
@@ -269,8 +262,8 @@
     }
 }
 
-// Refuses what has waited too long or can no longer finish. A request that waited too long takes new work of lower rank
-// with it: they would have waited in vain, and must not outlive it.
+// Refuses requests that exceeded the wait timeout or can no longer meet their deadline. With a request that timed out,
+// new work of lower rank is refused too: it would wait in vain, and must not outlive a more important request.
 void Gate::refuseLate(Instant now)
 {
     auto lowestLeft = lowestRank;
@@ -306,8 +299,8 @@
     }
 }
 
-// Requests that the event loop has not come to are a queue like that before the backend server: as many as the lag
-// holds of those that leave.
+// Requests delayed in the event loop form a queue like the one for the backend server. Its length is the completion
+// rate times the lag.
 void Gate::updateLagBudget(Instant now, Duration lag)
 {
     const auto elapsed = now - m_updatedAt;
@@ -338,7 +331,7 @@
 
 Duration Gate::expectedService() const { return fromSeconds(m_serviceTime); }
 
-// As many as can be expected to start within the longest wait.
+// Number of requests expected to start within the wait timeout.
 double Gate::queueCapacity() const
 {
     const double limit = m_limit.current(m_clock.now());
@@ -346,11 +339,9 @@
     return std::max(shortestQueue, std::min(rate * inSeconds(longestWait()), 4 * limit));
 }
 
-// A slow backend server frees its slots rarely, so those who wait for one need about as long as it takes.
+// A slow backend server rarely frees a slot, so waiting for one takes about as long as its service time.
 Duration Gate::longestWait() const { return std::max(m_settings.queueLimit, expectedService()); }
 
-// --- Feedback -----------------------------------------------------------------------------------------------------
-
 LoadFeedback Gate::feedback(std::optional<std::string_view> account) const
 {
     std::lock_guard guard(m_lock);
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -1,4 +1,4 @@
-/// The gate before one backend server: its tickets, its queue, its limit and its budget, under one lock.
+/// Admission gate of one backend server: its tickets, queue, concurrency limit and shed budgets under one lock.
 #pragma once
 
 #include "admission/ConcurrencyLimit.h"
@@ -9,7 +9,7 @@
 
 namespace Vanillaridge {
 
-/// What the board says of a gate's backend server at present.
+/// Settings of a gate's backend server, read from the board.
 struct GateSettings {
     uint32_t slots { 1 };
     uint64_t generation { 0 };
@@ -18,33 +18,34 @@
     OverloadPolicy policy { OverloadPolicy::FairnessFirst };
 };
 
-/// Whether a service that a request goes on to call sheds load.
+/// Whether a downstream service that the request will call is shedding load.
 enum class RoomBelow : uint8_t { Enough, Short };
 
 class Gate {
 public:
     Gate(Clock&, RandomSource&, AdmissionStrategy);
 
-    /// Whether the settings are old enough to be read from the board again.
+    /// Whether the settings are due to be read from the board again.
     bool wantsSettings() const;
     void configure(const GateSettings&);
 
     AdmissionDecision offer(const RequestContext&, Instant deadline, RoomBelow);
-    /// \return the route of the attempt that left its slot
+    /// Frees the slot of an admitted attempt.
+    /// \return the attempt's route; nothing if the attempt held no slot
     std::optional<RouteName> finished(const AttemptId&, AdmittedEnd);
     void abandon(const AttemptId&);
-    /// Decides on those who wait. The lag is that of this node, in whose event loop requests wait as well.
+    /// Starts or refuses waiting attempts. The lag is that of this node's event loop, where requests queue as well.
     void settle(std::string_view service, Duration lag, std::vector<AdmissionChange>&);
 
-    /// Load of the backend server; the shed level is that of the account, or of all when there is none.
+    /// Load of the backend server; the shed level is the account's, or that over all accounts if none is given.
     LoadFeedback feedback(std::optional<std::string_view> account) const;
     LimitReport limitReport() const;
 
 private:
-    // Place in the queue: best first.
+    // Position in the queue, highest priority first.
     struct Place {
         Rank rank;
-        // Calls of requests that already run go before new work of their rank, or what has been done for them is lost.
+        // Calls of running requests precede new work of their rank; otherwise the work already done is wasted.
         bool isNewWork { true };
         double order { 0 };
         uint64_t sequence { 0 };
@@ -54,16 +55,16 @@
         RouteName route;
         Place place;
         Instant deadline;
-        // Time that it must have left when it starts; 0 when nothing is known, or no room is short.
+        // Time that must remain before the deadline at the start; 0 if unknown or while capacity is not short.
         Duration expected { 0 };
         Instant since;
         bool waiting { false };
-        // A call whose request is not known is not dropped for its wait: others of its request may be served.
+        // A call with an unknown parent does not time out in the queue: sibling calls may have been served.
         bool parentKnown { true };
         bool cannotFinish(Instant now) const { return now + expected >= deadline; }
     };
     using Queue = std::map<Place, AttemptId>;
-    // What a strategy decides. Rows in the order of AdmissionStrategy.
+    // Decisions that depend on the strategy. Rows in the order of AdmissionStrategy.
     struct StrategyRow {
         uint32_t (Gate::*limit)(Instant) const;
         bool (Gate::*isShed)(const RequestContext&) const;
@@ -108,7 +109,7 @@
     bool m_configured { false };
     Instant m_coldSince;
     ConcurrencyLimit m_limit;
-    // What the backend server can take, and what the node beside it has processor time for.
+    // Budgets for the capacity of the backend server and for the processor time of its local node.
     ShedBudget m_budget { OverloadPolicy::FairnessFirst };
     ShedBudget m_lagBudget { OverloadPolicy::FairnessFirst };
     std::unordered_map<AttemptId, Ticket> m_tickets;
@@ -117,7 +118,7 @@
     uint32_t m_running { 0 };
     uint64_t m_sequence { 0 };
     ServiceTimes m_serviceTimes;
-    // Over all that is served.
+    // Averages (EWMA) over all routes.
     double m_serviceTime { 0 }; // seconds
     double m_queueTime { 0 }; // seconds
     // Since the last update.
@@ -128,7 +129,7 @@
     uint32_t m_served { 0 };
     bool m_saturated { false };
     bool m_overflowed { false };
-    // State of the drops by delay.
+    // State of isDroppedByDelay().
     Instant m_aboveTargetSince;
     Instant m_nextDrop;
     uint32_t m_drops { 0 };
--- a/src/admission/ServiceTimes.cpp
+++ b/src/admission/ServiceTimes.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-    // Least weight of a new sample; the first ones are averaged evenly.
+    // Minimum EWMA weight of a new sample; the first samples are averaged with equal weight.
     constexpr double smoothing = 0.05;
     constexpr uint32_t samplesNeeded = 8;
-    // How long a route's times are believed when no further request of it is served.
+    // Time-to-live of a route's estimate after its last served request.
     constexpr Duration evidenceLife = seconds(2);
 
 } // namespace
--- a/src/admission/ServiceTimes.h
+++ b/src/admission/ServiceTimes.h
@@ -1,4 +1,4 @@
-/// How long a backend server takes for requests of each route.
+/// Service time estimates of a backend server, per route.
 #pragma once
 
 #include "core/Core.h"
@@ -7,19 +7,19 @@
 
 namespace Vanillaridge {
 
-/// A server may do work of very different length, so what one route's requests take says nothing of another's. A route
-/// is judged only by requests of its own that were served of late: one that is refused is not timed, and a refusal must
-/// not keep up the estimate that it rests on.
-/// Not safe for several threads; its gate's lock protects it.
+/// The times of one route say nothing about another's, since a server's work may vary widely. An estimate uses only
+/// recently served requests of its own route and expires without them: refused requests are not timed, and a refusal
+/// must not sustain the estimate that caused it.
+/// Not thread-safe; protected by the gate's lock.
 class ServiceTimes {
 public:
-    /// A request of the route was served.
+    /// Records the service time of a served request.
     void note(std::string_view route, Duration, Instant now);
-    /// Time that most requests of the route need at least, and that most of them do not exceed; 0 while too few were
-    /// timed of late.
+    /// Times that most requests of the route reach and do not exceed, respectively: the average minus and plus the mean
+    /// deviation. 0 while there are too few recent samples.
     Duration least(std::string_view route, Instant now) const;
     Duration usual(std::string_view route, Instant now) const;
-    /// Drops routes of which nothing is known any more.
+    /// Removes routes whose estimate has expired.
     void forget(Instant now);
 
 private:
--- a/src/admission/ShedBudget.cpp
+++ b/src/admission/ShedBudget.cpp
@@ -8,33 +8,33 @@
 
 namespace {
 
-    // Memory of the totals of ranks and of the served rate: this, or longer where samples are few. That of accounts'
-    // shares, which need more samples.
+    // EWMA time constants. Rank totals and the served rate use the shortest one that collects enough samples; the
+    // shares of accounts have fewer samples and use the slow one.
     constexpr double fastMemory = 0.2; // seconds
     constexpr double longestMemory = 1.0; // seconds
     constexpr double samplesNeeded = 50;
-    // A rank that was not shed so far is left alone until its demand exceeds what is left by this factor.
+    // Hysteresis: a rank that is not yet shed stays so until its demand exceeds the remaining budget by this factor.
     constexpr double borderMargin = 1.2;
     constexpr double slowMemory = 1.0; // seconds
-    // Time in which the queue is to be brought to its target: this, or the service time if that is longer.
+    // Time to bring the queue to its target length; the service time if that is longer.
     constexpr double queueHorizon = 0.2; // seconds
-    // Filling of the queue that is aimed at, and that starts shedding.
+    // Target queue length and the length that starts shedding, as shares of the queue's capacity.
     constexpr double queueTarget = 0.25;
     constexpr double queueStart = 0.5;
     constexpr uint32_t updatesBeforeShedding = 2;
-    // Shedding ends when the budget exceeds demand by this factor.
+    // Shedding stops when the budget exceeds demand by this factor.
     constexpr double roomToStop = 1.2;
-    // The budget is never below this share of the served rate.
+    // Lower bound of the budget, as a share of the served rate.
     constexpr double leastBudget = 0.8;
-    // Passes of water filling: each fixes the accounts that are below the level.
+    // Maximum passes of water filling; each satisfies the accounts whose rate is below the level.
     constexpr int waterPasses = 12;
-    // Accounts without traffic are forgotten: how often that is looked at (updates), and from which rate on.
+    // Idle accounts are removed: updates between two sweeps, and the rate below which an account is idle.
     constexpr uint32_t forgetEvery = 256;
     constexpr double forgottenRate = 1e-3; // requests per second
 
     double smoothing(double elapsed, double memory) { return 1 - std::exp(-elapsed / memory); }
 
-    // Few requests per second are remembered longer, so that noise does not move the border.
+    // Low rates are averaged over a longer time, so that noise does not move the cutoff rank.
     double memoryAt(double rate) { return std::clamp(samplesNeeded / std::max(rate, 1.0), fastMemory, longestMemory); }
 
 } // namespace
@@ -65,7 +65,7 @@
     placeBorder();
 }
 
-// Totals follow fast; shares of accounts follow slowly, because each has few samples.
+// Rank totals adapt fast; the shares of accounts adapt slowly, because each account has few samples.
 void ShedBudget::smoothDemand(double elapsed)
 {
     const double slow = smoothing(elapsed, slowMemory);
@@ -89,16 +89,16 @@
     }
 }
 
-// While requests wait, what is served is what the backend server can do; the queue is steered to its target. While
-// none wait, the budget grows until it no longer binds.
+// While saturated, the served rate is the capacity of the backend server, and the budget steers the queue to its target
+// length. Otherwise the budget grows until it no longer limits the demand.
 void ShedBudget::smoothCapacity(const Observation& seen, double elapsed)
 {
-    // 1. The served rate.
+    // 1. Update the served rate.
     m_served += smoothing(elapsed, memoryAt(m_served)) * (seen.ends / elapsed - m_served);
     const double demand = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
     const double waiting = static_cast<double>(seen.waiting);
 
-    // 2. Shedding begins once the queue has been long for a while.
+    // 2. Start shedding once the queue has been long for several updates.
     if (!m_shedding) {
         const bool isLong = seen.overflowed || waiting > queueStart * seen.queueCapacity;
         m_overflowingUpdates = isLong && seen.saturated ? m_overflowingUpdates + 1 : 0;
@@ -108,7 +108,7 @@
         m_budget = m_served;
     }
 
-    // 3. The budget.
+    // 3. Update the budget.
     if (seen.saturated) {
         const double horizon = std::max(queueHorizon, std::chrono::duration<double>(seen.serviceTime).count());
         const double steering = (queueTarget * seen.queueCapacity - waiting) / horizon;
@@ -117,7 +117,7 @@
         m_budget = std::max(m_budget, m_served) * std::pow(m_policy->recovery, elapsed / 0.05) + 1;
     }
 
-    // 4. Shedding ends.
+    // 4. Stop shedding.
     if (!seen.saturated && m_budget > roomToStop * demand) {
         m_shedding = false;
         m_overflowingUpdates = 0;
@@ -143,7 +143,7 @@
     }
 }
 
-// The account's share of the rank, on the scale of the faster total.
+// The account's slowly adapting share of the rank, scaled to the rank's fast total.
 double ShedBudget::rateOf(const Account& account, size_t rank) const
 {
     if (m_slowDemand[rank] <= 0)
@@ -151,7 +151,7 @@
     return account.rate[rank] * m_demand[rank] / m_slowDemand[rank];
 }
 
-// The rate to which accounts are cut so that the budget is just used: max-min fairness.
+// Max-min fairness: the rate to which accounts are limited so that the budget is just used up.
 double ShedBudget::fairWaterLevel(double budget) const
 {
     double level = 0;
@@ -185,7 +185,7 @@
 
 double ShedBudget::evenSurvival(const Account&) const { return std::min(1.0, m_share); }
 
-// An account's requests spread evenly up to its rate, so that cutting at any height cuts the largest accounts first.
+// Spreads an account's requests evenly up to its rate, so that any cutoff sheds the largest accounts first.
 double ShedBudget::fairOrder(double rate, double survival) const { return rate * survival; }
 
 double ShedBudget::hashOrder(double, double survival) const { return survival; }
--- a/src/admission/ShedBudget.h
+++ b/src/admission/ShedBudget.h
@@ -1,4 +1,4 @@
-/// How many requests per second a backend server can take, and which ones follow from it.
+/// Load shedding budget: the request rate that a backend server can take, and which requests fit into it.
 #pragma once
 
 #include "admission/Admission.h"
@@ -7,45 +7,45 @@
 
 namespace Vanillaridge {
 
-/// Divides a budget of requests per second among ranks, the most important first, and inside the rank where it ends
-/// among client accounts, as the policy says. Which requests of an account survive follows from their stable hash.
-/// Not safe for several threads; its gate's lock protects it.
+/// Divides a budget of requests per second among ranks, the most important first. The overload policy divides the rank
+/// in which the budget runs out among client accounts. A stable hash selects which requests of an account are admitted.
+/// Not thread-safe; protected by the gate's lock.
 class ShedBudget {
 public:
     explicit ShedBudget(OverloadPolicy policy) { choose(policy); }
     void choose(OverloadPolicy);
 
-    /// Notes an offered request, shed or not; `represents` is how many it stands for.
+    /// Counts an offered request, shed or not; `represents` is the number of requests that it stands for.
     void noteOffer(Rank, std::string_view account, double represents);
-    /// What the gate saw since the last update.
+    /// Observations of the gate since the last update.
     struct Observation {
         /// Time since the last update.
         Duration elapsed { 0 };
-        /// Attempts that left their slot.
+        /// Attempts that freed their slot, except those that the backend server rejected for overload.
         uint32_t ends { 0 };
-        /// Whether requests had to wait for a slot.
+        /// Whether requests were held back for lack of a slot.
         bool saturated { false };
-        /// Whether any were refused because the queue was full or too slow.
+        /// Whether the queue was full or a request timed out in it.
         bool overflowed { false };
         size_t waiting { 0 };
-        /// Longest queue that its limit on waiting allows, in requests.
+        /// Queue length that the wait timeout allows, in requests.
         double queueCapacity { 0 };
-        /// Smoothed time at the backend server.
+        /// Average (EWMA) service time of the backend server.
         Duration serviceTime { 0 };
     };
     void update(const Observation&);
 
-    /// Shed level of an account: see LoadFeedback::shedLevel.
+    /// Shed level of an account; see LoadFeedback::shedLevel.
     double level(std::string_view account) const;
     /// Shed level over all accounts.
     double level() const;
-    /// Place of a request in the queue, inside its rank: lower ones first.
+    /// Sort key of a request in the queue within its rank, lowest first.
     double order(Rank, std::string_view account, uint64_t treeHash) const;
 
 private:
     using ByRank = std::array<double, rankCount>;
     struct Account {
-        // Offered since the last update, and the smoothed rate per second.
+        // Requests offered since the last update, and their EWMA rate per second.
         ByRank fresh {};
         ByRank rate {};
     };
@@ -53,7 +53,7 @@
     using Divide = double (ShedBudget::*)(double budget) const;
     using Survive = double (ShedBudget::*)(const Account&) const;
     using Order = double (ShedBudget::*)(double rate, double survival) const;
-    // What an overload policy decides.
+    // Decisions that depend on the overload policy.
     struct PolicyRow {
         Divide divide;
         Survive survive;
@@ -81,7 +81,7 @@
     double m_budget { 0 };
     bool m_shedding { false };
     uint32_t m_overflowingUpdates { 0 };
-    // The rank where the budget ends, and what the policy made of the rest of it.
+    // The rank in which the budget runs out, and how the policy divides the remaining budget there.
     size_t m_border { rankCount };
     double m_share { 0 };
     double m_borderSurvival { 1 };
