--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -138,9 +138,9 @@
     const bool isFree = m_queue.empty() && m_running < (this->*m_strategy.limit)(now);
     Ticket ticket { context.route, {}, deadline, Duration(0), now };
     if (below == RoomBelow::Short && context.depth == 1)
-        ticket.expected = m_serviceTimes.usual(context.route, now);
+        ticket.expected = m_serviceTimes.highEstimate(context.route, now);
     else if (!isFree)
-        ticket.expected = m_serviceTimes.least(context.route, now);
+        ticket.expected = m_serviceTimes.lowEstimate(context.route, now);
     if (ticket.cannotFinish(now))
         return refusal(Reason::DeadlineExceeded, ticket.expected);
 
@@ -216,7 +216,7 @@
     if (end != AdmittedEnd::Overloaded)
         ++m_ends;
     if (end == AdmittedEnd::Served) {
-        m_serviceTimes.note(found->second.route, spent, now);
+        m_serviceTimes.record(found->second.route, spent, now);
         noteServiceTime(inSeconds(spent));
     }
     auto route = std::move(found->second.route);
@@ -319,7 +319,7 @@
     updateLagBudget(now, lag);
     m_limit.update(now, m_saturated);
     if (now - m_forgottenAt >= forgetPeriod) {
-        m_serviceTimes.forget(now);
+        m_serviceTimes.expire(now);
         m_forgottenAt = now;
     }
     m_updatedAt = now;
--- a/src/admission/ServiceTimes.cpp
+++ b/src/admission/ServiceTimes.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void ServiceTimes::note(std::string_view route, Duration time, Instant now)
+void ServiceTimes::record(std::string_view route, Duration time, Instant now)
 {
     auto found = m_routes.find(route);
     if (found == m_routes.end())
@@ -32,9 +32,9 @@
     times.mean += weight * (seconds - times.mean);
 }
 
-Duration ServiceTimes::least(std::string_view route, Instant now) const { return estimate(route, now, -1); }
+Duration ServiceTimes::lowEstimate(std::string_view route, Instant now) const { return estimate(route, now, -1); }
 
-Duration ServiceTimes::usual(std::string_view route, Instant now) const { return estimate(route, now, 1); }
+Duration ServiceTimes::highEstimate(std::string_view route, Instant now) const { return estimate(route, now, 1); }
 
 Duration ServiceTimes::estimate(std::string_view route, Instant now, double deviations) const
 {
@@ -46,7 +46,7 @@
         std::chrono::duration<double>(std::max(0.0, times.mean + deviations * times.deviation)));
 }
 
-void ServiceTimes::forget(Instant now)
+void ServiceTimes::expire(Instant now)
 {
     std::erase_if(m_routes, [&](const auto& entry) { return now - entry.second.at > evidenceLife; });
 }
--- a/src/admission/ServiceTimes.h
+++ b/src/admission/ServiceTimes.h
@@ -14,13 +14,13 @@
 class ServiceTimes {
 public:
     /// Records the service time of a served request.
-    void note(std::string_view route, Duration, Instant now);
+    void record(std::string_view route, Duration, Instant now);
     /// Times that most requests of the route reach and do not exceed, respectively: the average minus and plus the mean
     /// deviation. 0 while there are too few recent samples.
-    Duration least(std::string_view route, Instant now) const;
-    Duration usual(std::string_view route, Instant now) const;
+    Duration lowEstimate(std::string_view route, Instant now) const;
+    Duration highEstimate(std::string_view route, Instant now) const;
     /// Removes routes whose estimate has expired.
-    void forget(Instant now);
+    void expire(Instant now);
 
 private:
     struct Times {
