--- a/src/admission/ServiceTimes.cpp
+++ b/src/admission/ServiceTimes.cpp
@@ -8,10 +8,10 @@
 namespace {
 
     // Minimum EWMA weight of a new sample; the first samples are averaged with equal weight.
-    constexpr double smoothing = 0.05;
+    constexpr double minimumEwmaWeight = 0.05;
     constexpr uint32_t samplesNeeded = 8;
     // Time-to-live of a route's estimate after its last served request.
-    constexpr Duration evidenceLife = seconds(2);
+    constexpr Duration estimateTtl = seconds(2);
 
 } // namespace
 
@@ -21,12 +21,12 @@
     if (found == m_routes.end())
         found = m_routes.emplace(route, Times {}).first;
     auto& times = found->second;
-    if (now - times.at > evidenceLife)
+    if (now - times.updatedAt > estimateTtl)
         times = {};
-    times.at = now;
+    times.updatedAt = now;
     ++times.samples;
     const double seconds = std::chrono::duration<double>(time).count();
-    const double weight = std::max(smoothing, 1.0 / times.samples);
+    const double weight = std::max(minimumEwmaWeight, 1.0 / times.samples);
     if (times.samples > 1)
         times.deviation += weight * (std::abs(seconds - times.mean) - times.deviation);
     times.mean += weight * (seconds - times.mean);
@@ -39,7 +39,7 @@
 Duration ServiceTimes::estimate(std::string_view route, Instant now, double deviations) const
 {
     const auto found = m_routes.find(route);
-    if (found == m_routes.end() || found->second.samples < samplesNeeded || now - found->second.at > evidenceLife)
+    if (found == m_routes.end() || found->second.samples < samplesNeeded || now - found->second.updatedAt > estimateTtl)
         return Duration(0);
     const auto& times = found->second;
     return std::chrono::duration_cast<Duration>(
@@ -48,7 +48,7 @@
 
 void ServiceTimes::expire(Instant now)
 {
-    std::erase_if(m_routes, [&](const auto& entry) { return now - entry.second.at > evidenceLife; });
+    std::erase_if(m_routes, [&](const auto& entry) { return now - entry.second.updatedAt > estimateTtl; });
 }
 
 } // namespace Vanillaridge
--- a/src/admission/ServiceTimes.h
+++ b/src/admission/ServiceTimes.h
@@ -27,7 +27,7 @@
         double mean { 0 }; // seconds
         double deviation { 0 }; // seconds
         uint32_t samples { 0 };
-        Instant at;
+        Instant updatedAt;
     };
     Duration estimate(std::string_view route, Instant now, double deviations) const;
 
