--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -19,7 +19,7 @@
     // Rejections in a window from which they are statistically significant.
     constexpr uint32_t manyRejections = 10;
     // A value that a lower limit did not reduce is tried again at once when it rises by this factor.
-    constexpr double worseThanUnexplained = 2;
+    constexpr double retrialFactor = 2;
     // Odds reported when every request is rejected.
     constexpr double allRejected = 1e6;
     // The limit grows slowly for this long after a trial for rejections, and fast otherwise.
@@ -27,15 +27,15 @@
     constexpr double slowGrowth = 1.02;
     constexpr double fastGrowth = 1.25;
     // Ratio of latency to baseline that justifies a trial, and the upward drift of the baseline per window.
-    constexpr double suspiciousLatency = 1.5;
+    constexpr double elevatedLatencyRatio = 1.5;
     constexpr double baselineDrift = 1.02;
     // Limit during a trial, as a share of the limit before it, or of the concurrency that the server sustained.
     constexpr double trialFraction = 0.9;
     // A trial succeeds if it reduces the rejections or the latency to this share.
-    constexpr double rejectionsAfterTrial = 0.5;
-    constexpr double latencyAfterTrial = 0.95;
-    constexpr Duration firstTrialPause = seconds(4);
-    constexpr Duration longestTrialPause = seconds(32);
+    constexpr double rejectionSuccessShare = 0.5;
+    constexpr double latencySuccessShare = 0.95;
+    constexpr Duration minimumTrialBackoff = seconds(4);
+    constexpr Duration maximumTrialBackoff = seconds(32);
     // Share of the limit that applies right after a cold start.
     constexpr double coldFraction = 0.2;
 
@@ -43,10 +43,10 @@
 
 // Rows in the order of Signal.
 const std::array<ConcurrencyLimit::SignalRow, 2> ConcurrencyLimit::signals { {
-    { &ConcurrencyLimit::rejectionOdds, &ConcurrencyLimit::rejectsMany, &ConcurrencyLimit::limitWithoutRejections,
-        rejectionsAfterTrial, LimitCause::Rejections },
-    { &ConcurrencyLimit::meanLatency, &ConcurrencyLimit::takesLong, &ConcurrencyLimit::limitSlightlyLower,
-        latencyAfterTrial, LimitCause::Latency },
+    { &ConcurrencyLimit::rejectionOdds, &ConcurrencyLimit::hasManyRejections, &ConcurrencyLimit::limitWithoutRejections,
+        rejectionSuccessShare, LimitCause::Rejections },
+    { &ConcurrencyLimit::meanLatency, &ConcurrencyLimit::hasHighLatency, &ConcurrencyLimit::limitSlightlyLower,
+        latencySuccessShare, LimitCause::Latency },
 } };
 
 void ConcurrencyLimit::configure(uint32_t slots, Instant coldSince, Duration slowStart)
@@ -90,7 +90,7 @@
     const auto age = now - m_window.since;
     const double enough = std::clamp(turnsPerWindow * m_limit, fewestEnds, mostEnds);
     const bool isFilled = m_window.ends + m_window.rejections >= enough;
-    const bool hasFewRejections = m_trial == Trial::None && m_window.rejections > 0 && !rejectsMany();
+    const bool hasFewRejections = m_trial == Trial::None && m_window.rejections > 0 && !hasManyRejections();
     const auto longest = hasFewRejections ? longestWithRejections : longestWindow;
     if (age < shortestWindow || (!isFilled && age < longest))
         return;
@@ -107,9 +107,9 @@
     noteBaseline();
 
     // 1. Continue a running trial, or start one.
-    auto& rejections = findingsOf(Signal::Rejections);
+    auto& rejections = historyOf(Signal::Rejections);
     if (m_trial != Trial::None) {
-        judgeTrial(now);
+        evaluateTrial(now);
         return;
     }
     if (startTrial(now, Signal::Rejections))
@@ -121,8 +121,8 @@
         return;
 
     // 2. Grow the limit unless concurrency may be the cause of rejections or latency.
-    const bool maybeForLoad = rejectsMany() && rejectionOdds() > worseThanUnexplained * rejections.unexplained;
-    if (m_window.ends && !maybeForLoad && !takesLong())
+    const bool maybeLoadRelated = hasManyRejections() && rejectionOdds() > retrialFactor * rejections.loadIndependent;
+    if (m_window.ends && !maybeLoadRelated && !hasHighLatency())
         grow(now - m_rejectedAt < rejectionMemory ? slowGrowth : fastGrowth);
 }
 
@@ -148,9 +148,9 @@
     return m_window.ends ? inSeconds(m_window.latencySum) / m_window.ends : 0;
 }
 
-bool ConcurrencyLimit::rejectsMany() const { return m_window.rejections >= manyRejections; }
+bool ConcurrencyLimit::hasManyRejections() const { return m_window.rejections >= manyRejections; }
 
-bool ConcurrencyLimit::takesLong() const { return meanLatency() > suspiciousLatency * m_baseline; }
+bool ConcurrencyLimit::hasHighLatency() const { return meanLatency() > elevatedLatencyRatio * m_baseline; }
 
 // Concurrency at the backend server by Little's law; if it accepted nothing, the lowest concurrency at a rejection.
 double ConcurrencyLimit::limitWithoutRejections(Instant now) const
@@ -164,12 +164,12 @@
 bool ConcurrencyLimit::startTrial(Instant now, Signal signal)
 {
     const auto& row = signals[static_cast<size_t>(signal)];
-    const auto& findings = findingsOf(signal);
+    const auto& history = historyOf(signal);
     const double measured = (this->*row.measured)();
-    const bool isDue = now >= findings.nextTrial || measured > worseThanUnexplained * findings.unexplained;
-    if (!isDue || !(this->*row.isSuspicious)())
+    const bool isDue = now >= history.nextTrial || measured > retrialFactor * history.loadIndependent;
+    if (!isDue || !(this->*row.isElevated)())
         return false;
-    m_tried = signal;
+    m_trialSignal = signal;
     m_trial = Trial::Settling;
     m_limitBeforeTrial = m_limit;
     m_measuredBeforeTrial = measured;
@@ -182,25 +182,25 @@
 }
 
 // The first window after the change still includes attempts from before it, so the second one is evaluated.
-void ConcurrencyLimit::judgeTrial(Instant now)
+void ConcurrencyLimit::evaluateTrial(Instant now)
 {
     if (m_trial == Trial::Settling) {
         m_trial = Trial::Measuring;
         return;
     }
     m_trial = Trial::None;
-    const auto& row = signals[static_cast<size_t>(m_tried)];
-    auto& findings = findingsOf(m_tried);
+    const auto& row = signals[static_cast<size_t>(m_trialSignal)];
+    auto& history = historyOf(m_trialSignal);
     const double measured = (this->*row.measured)();
-    if (measured <= row.shareAfterTrial * m_measuredBeforeTrial) {
-        findings = {};
+    if (measured <= row.successShare * m_measuredBeforeTrial) {
+        history = {};
         return;
     }
     m_limit = std::min(m_ceiling, m_limitBeforeTrial);
     m_report.cause = LimitCause::None;
-    findings.unexplained = std::max(measured, m_measuredBeforeTrial);
-    findings.pause = std::clamp<Duration>(findings.pause * 2, firstTrialPause, longestTrialPause);
-    findings.nextTrial = now + findings.pause;
+    history.loadIndependent = std::max(measured, m_measuredBeforeTrial);
+    history.backoff = std::clamp<Duration>(history.backoff * 2, minimumTrialBackoff, maximumTrialBackoff);
+    history.nextTrial = now + history.backoff;
 }
 
 void ConcurrencyLimit::grow(double factor)
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -35,32 +35,32 @@
     // How a signal is measured (lower is better) and evaluated.
     struct SignalRow {
         double (ConcurrencyLimit::*measured)() const;
-        bool (ConcurrencyLimit::*isSuspicious)() const;
+        bool (ConcurrencyLimit::*isElevated)() const;
         double (ConcurrencyLimit::*limitForTrial)(Instant) const;
         // A trial succeeds if it reduces the measured value to this share.
-        double shareAfterTrial;
+        double successShare;
         LimitCause cause;
     };
     // Earliest next trial of a signal, its backoff, and the measured value that a lower limit did not reduce.
-    struct Findings {
+    struct TrialHistory {
         Instant nextTrial;
-        Duration pause { 0 };
-        double unexplained { 0 };
+        Duration backoff { 0 };
+        double loadIndependent { 0 };
     };
     static const std::array<SignalRow, 2> signals;
 
     double rejectionOdds() const;
     double meanLatency() const;
-    bool rejectsMany() const;
-    bool takesLong() const;
+    bool hasManyRejections() const;
+    bool hasHighLatency() const;
     double limitWithoutRejections(Instant) const;
     double limitSlightlyLower(Instant) const;
 
     void closeWindow(Instant);
     void noteBaseline();
-    Findings& findingsOf(Signal signal) { return m_findings[static_cast<size_t>(signal)]; }
+    TrialHistory& historyOf(Signal signal) { return m_trialHistory[static_cast<size_t>(signal)]; }
     bool startTrial(Instant, Signal);
-    void judgeTrial(Instant);
+    void evaluateTrial(Instant);
     void grow(double factor);
 
     double m_ceiling { 1 };
@@ -70,9 +70,9 @@
     Window m_window;
     double m_baseline { 0 }; // seconds
     Instant m_rejectedAt;
-    std::array<Findings, 2> m_findings;
+    std::array<TrialHistory, 2> m_trialHistory;
     Trial m_trial { Trial::None };
-    Signal m_tried { Signal::Rejections };
+    Signal m_trialSignal { Signal::Rejections };
     double m_limitBeforeTrial { 0 };
     double m_measuredBeforeTrial { 0 };
     LimitReport m_report;
