--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -71,7 +71,7 @@
     return std::max(1U, static_cast<uint32_t>(m_limit * share));
 }
 
-void ConcurrencyLimit::noteEnd(AdmittedEnd end, Duration serviceTime, uint32_t running)
+void ConcurrencyLimit::recordCompletion(AdmittedEnd end, Duration serviceTime, uint32_t running)
 {
     if (end == AdmittedEnd::Overloaded) {
         if (!m_window.rejections || running < m_window.leastRunningAtRejection)
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -212,7 +212,7 @@
         return std::nullopt;
     const auto now = m_clock.now();
     const auto spent = now - found->second.since;
-    m_limit.noteEnd(end, spent, m_running);
+    m_limit.recordCompletion(end, spent, m_running);
     if (end != AdmittedEnd::Overloaded)
         ++m_ends;
     if (end == AdmittedEnd::Served) {
