--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -8,12 +8,12 @@
 
     // A window closes at its maximum length, or from the minimum length on once its completions fill the slots a few
     // times. The maximum is longer while rejections are too few to be significant.
-    constexpr Duration shortestWindow = milliseconds(100);
-    constexpr Duration longestWindow = seconds(1);
-    constexpr Duration longestWithRejections = seconds(4);
-    constexpr double turnsPerWindow = 4;
-    constexpr double fewestEnds = 50;
-    constexpr double mostEnds = 200;
+    constexpr Duration minimumWindow = milliseconds(100);
+    constexpr Duration maximumWindow = seconds(1);
+    constexpr Duration maximumWindowWithRejections = seconds(4);
+    constexpr double turnoversPerWindow = 4;
+    constexpr double minimumCompletions = 50;
+    constexpr double maximumCompletions = 200;
     // Lower bound of the limit, as a share of the ceiling.
     constexpr double floorFraction = 0.05;
     // Rejections in a window from which they are statistically significant.
@@ -21,14 +21,14 @@
     // A value that a lower limit did not reduce is tried again at once when it rises by this factor.
     constexpr double retrialFactor = 2;
     // Odds reported when every request is rejected.
-    constexpr double allRejected = 1e6;
+    constexpr double allRejectedOdds = 1e6;
     // The limit grows slowly for this long after a trial for rejections, and fast otherwise.
-    constexpr Duration rejectionMemory = seconds(2);
+    constexpr Duration slowGrowthPeriod = seconds(2);
     constexpr double slowGrowth = 1.02;
     constexpr double fastGrowth = 1.25;
     // Ratio of latency to baseline that justifies a trial, and the upward drift of the baseline per window.
     constexpr double elevatedLatencyRatio = 1.5;
-    constexpr double baselineDrift = 1.02;
+    constexpr double baselineDriftFactor = 1.02;
     // Limit during a trial, as a share of the limit before it, or of the concurrency that the server sustained.
     constexpr double trialFraction = 0.9;
     // A trial succeeds if it reduces the rejections or the latency to this share.
@@ -79,7 +79,7 @@
         ++m_window.rejections;
         return;
     }
-    ++m_window.ends;
+    ++m_window.completions;
     m_window.latencySum += serviceTime;
 }
 
@@ -88,11 +88,11 @@
     ++m_window.updates;
     m_window.saturatedUpdates += saturated;
     const auto age = now - m_window.since;
-    const double enough = std::clamp(turnsPerWindow * m_limit, fewestEnds, mostEnds);
-    const bool isFilled = m_window.ends + m_window.rejections >= enough;
+    const double neededCompletions = std::clamp(turnoversPerWindow * m_limit, minimumCompletions, maximumCompletions);
+    const bool isFilled = m_window.completions + m_window.rejections >= neededCompletions;
     const bool hasFewRejections = m_trial == Trial::None && m_window.rejections > 0 && !hasManyRejections();
-    const auto longest = hasFewRejections ? longestWithRejections : longestWindow;
-    if (age < shortestWindow || (!isFilled && age < longest))
+    const auto longest = hasFewRejections ? maximumWindowWithRejections : maximumWindow;
+    if (age < minimumWindow || (!isFilled && age < longest))
         return;
     closeWindow(now);
     m_window = { .since = now };
@@ -100,11 +100,11 @@
 
 void ConcurrencyLimit::closeWindow(Instant now)
 {
-    const uint32_t all = m_window.ends + m_window.rejections;
+    const uint32_t all = m_window.completions + m_window.rejections;
     if (!all)
         return;
     m_report.rejectedShare = double(m_window.rejections) / all;
-    noteBaseline();
+    updateBaseline();
 
     // 1. Continue a running trial, or start one.
     auto& rejections = historyOf(Signal::Rejections);
@@ -122,30 +122,30 @@
 
     // 2. Grow the limit unless concurrency may be the cause of rejections or latency.
     const bool maybeLoadRelated = hasManyRejections() && rejectionOdds() > retrialFactor * rejections.loadIndependent;
-    if (m_window.ends && !maybeLoadRelated && !hasHighLatency())
-        grow(now - m_rejectedAt < rejectionMemory ? slowGrowth : fastGrowth);
+    if (m_window.completions && !maybeLoadRelated && !hasHighLatency())
+        grow(now - m_rejectedAt < slowGrowthPeriod ? slowGrowth : fastGrowth);
 }
 
 // Tracks the lowest recent latency; the upward drift lets old minima expire.
-void ConcurrencyLimit::noteBaseline()
+void ConcurrencyLimit::updateBaseline()
 {
-    if (!m_window.ends)
+    if (!m_window.completions)
         return;
     const double mean = meanLatency();
-    m_baseline = m_baseline > 0 ? std::min(mean, m_baseline * baselineDrift) : mean;
+    m_baseline = m_baseline > 0 ? std::min(mean, m_baseline * baselineDriftFactor) : mean;
 }
 
 // Rejections per accepted request: the excess over the server's capacity, independent of the limit.
 double ConcurrencyLimit::rejectionOdds() const
 {
-    if (!m_window.ends)
-        return m_window.rejections ? allRejected : 0;
-    return double(m_window.rejections) / m_window.ends;
+    if (!m_window.completions)
+        return m_window.rejections ? allRejectedOdds : 0;
+    return double(m_window.rejections) / m_window.completions;
 }
 
 double ConcurrencyLimit::meanLatency() const
 {
-    return m_window.ends ? inSeconds(m_window.latencySum) / m_window.ends : 0;
+    return m_window.completions ? inSeconds(m_window.latencySum) / m_window.completions : 0;
 }
 
 bool ConcurrencyLimit::hasManyRejections() const { return m_window.rejections >= manyRejections; }
@@ -155,8 +155,8 @@
 // Concurrency at the backend server by Little's law; if it accepted nothing, the lowest concurrency at a rejection.
 double ConcurrencyLimit::limitWithoutRejections(Instant now) const
 {
-    const double atWork = inSeconds(m_window.latencySum) / inSeconds(now - m_window.since);
-    return trialFraction * (m_window.ends ? atWork : double(m_window.leastRunningAtRejection));
+    const double concurrency = inSeconds(m_window.latencySum) / inSeconds(now - m_window.since);
+    return trialFraction * (m_window.completions ? concurrency : double(m_window.leastRunningAtRejection));
 }
 
 double ConcurrencyLimit::limitSlightlyLower(Instant) const { return trialFraction * m_limit; }
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -22,7 +22,7 @@
 private:
     struct Window {
         Instant since;
-        uint32_t ends { 0 };
+        uint32_t completions { 0 };
         uint32_t rejections { 0 };
         Duration latencySum { 0 };
         uint32_t leastRunningAtRejection { 0 };
@@ -57,7 +57,7 @@
     double limitSlightlyLower(Instant) const;
 
     void closeWindow(Instant);
-    void noteBaseline();
+    void updateBaseline();
     TrialHistory& historyOf(Signal signal) { return m_trialHistory[static_cast<size_t>(signal)]; }
     bool startTrial(Instant, Signal);
     void evaluateTrial(Instant);
