--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -49,14 +49,14 @@
         latencySuccessShare, LimitCause::Latency },
 } };
 
-void ConcurrencyLimit::configure(uint32_t slots, Instant coldSince, Duration slowStart)
+void ConcurrencyLimit::configure(uint32_t slots, Instant coldStartAt, Duration slowStart)
 {
     const double ceiling = std::max(1U, slots);
     if (ceiling != m_ceiling || m_limit <= 0) {
         m_limit = m_limit <= 0 ? ceiling : std::min(m_limit, ceiling);
         m_ceiling = ceiling;
     }
-    m_coldSince = coldSince;
+    m_coldStartAt = coldStartAt;
     m_slowStart = slowStart;
 }
 
@@ -64,8 +64,9 @@
 uint32_t ConcurrencyLimit::current(Instant now) const
 {
     double share = 1;
-    if (m_slowStart > Duration(0) && now < m_coldSince + m_slowStart) {
-        const double age = static_cast<double>((now - m_coldSince).count()) / static_cast<double>(m_slowStart.count());
+    if (m_slowStart > Duration(0) && now < m_coldStartAt + m_slowStart) {
+        const double age
+            = static_cast<double>((now - m_coldStartAt).count()) / static_cast<double>(m_slowStart.count());
         share = coldFraction + (1 - coldFraction) * std::clamp(age, 0.0, 1.0);
     }
     return std::max(1U, static_cast<uint32_t>(m_limit * share));
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -11,7 +11,7 @@
 class ConcurrencyLimit {
 public:
     /// Sets the ceiling and the slow start that ramps up the limit after a cold start.
-    void configure(uint32_t slots, Instant coldSince, Duration slowStart);
+    void configure(uint32_t slots, Instant coldStartAt, Duration slowStart);
     uint32_t current(Instant) const;
     /// Records a completed attempt, its service time, and the number of attempts that were running.
     void recordCompletion(AdmittedEnd, Duration serviceTime, uint32_t running);
@@ -65,7 +65,7 @@
 
     double m_ceiling { 1 };
     double m_limit { 0 };
-    Instant m_coldSince;
+    Instant m_coldStartAt;
     Duration m_slowStart { 0 };
     Window m_window;
     double m_baseline { 0 }; // seconds
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -65,13 +65,13 @@
     std::lock_guard guard(m_lock);
     const auto now = m_clock.now();
     if (!m_configured || settings.generation != m_settings.generation)
-        m_coldSince = now;
+        m_coldStartAt = now;
     m_configured = true;
     m_configuredAt = now;
     m_settings = settings;
     m_budget.choose(settings.policy);
     m_lagBudget.choose(settings.policy);
-    m_limit.configure(settings.slots, m_coldSince, settings.slowStart);
+    m_limit.configure(settings.slots, m_coldStartAt, settings.slowStart);
 }
 
 uint32_t Gate::adaptiveLimit(Instant now) const { return m_limit.current(now); }
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -107,7 +107,7 @@
     GateSettings m_settings;
     Instant m_configuredAt;
     bool m_configured { false };
-    Instant m_coldSince;
+    Instant m_coldStartAt;
     ConcurrencyLimit m_limit;
     // Budgets for the capacity of the backend server and for the processor time of its local node.
     ShedBudget m_budget { OverloadPolicy::FairnessFirst };
