--- a/src/admission/ShedBudget.cpp
+++ b/src/admission/ShedBudget.cpp
@@ -10,32 +10,35 @@
 
     // EWMA time constants. Rank totals and the served rate use the shortest one that collects enough samples; the
     // shares of accounts have fewer samples and use the slow one.
-    constexpr double fastMemory = 0.2; // seconds
-    constexpr double longestMemory = 1.0; // seconds
+    constexpr double shortestTimeConstant = 0.2; // seconds
+    constexpr double longestTimeConstant = 1.0; // seconds
     constexpr double samplesNeeded = 50;
     // Hysteresis: a rank that is not yet shed stays so until its demand exceeds the remaining budget by this factor.
     constexpr double borderMargin = 1.2;
-    constexpr double slowMemory = 1.0; // seconds
+    constexpr double accountTimeConstant = 1.0; // seconds
     // Time to bring the queue to its target length; the service time if that is longer.
     constexpr double queueHorizon = 0.2; // seconds
     // Target queue length and the length that starts shedding, as shares of the queue's capacity.
     constexpr double queueTarget = 0.25;
-    constexpr double queueStart = 0.5;
+    constexpr double queueSheddingStart = 0.5;
     constexpr uint32_t updatesBeforeShedding = 2;
     // Shedding stops when the budget exceeds demand by this factor.
-    constexpr double roomToStop = 1.2;
+    constexpr double stopSheddingFactor = 1.2;
     // Lower bound of the budget, as a share of the served rate.
-    constexpr double leastBudget = 0.8;
+    constexpr double minimumBudgetShare = 0.8;
     // Maximum passes of water filling; each satisfies the accounts whose rate is below the level.
     constexpr int waterPasses = 12;
     // Idle accounts are removed: updates between two sweeps, and the rate below which an account is idle.
-    constexpr uint32_t forgetEvery = 256;
-    constexpr double forgottenRate = 1e-3; // requests per second
+    constexpr uint32_t updatesPerSweep = 256;
+    constexpr double idleRate = 1e-3; // requests per second
 
-    double smoothing(double elapsed, double memory) { return 1 - std::exp(-elapsed / memory); }
+    double ewmaWeight(double elapsed, double timeConstant) { return 1 - std::exp(-elapsed / timeConstant); }
 
     // Low rates are averaged over a longer time, so that noise does not move the cutoff rank.
-    double memoryAt(double rate) { return std::clamp(samplesNeeded / std::max(rate, 1.0), fastMemory, longestMemory); }
+    double timeConstantFor(double rate)
+    {
+        return std::clamp(samplesNeeded / std::max(rate, 1.0), shortestTimeConstant, longestTimeConstant);
+    }
 
 } // namespace
 
@@ -52,73 +55,74 @@
     auto found = m_accounts.find(account);
     if (found == m_accounts.end())
         found = m_accounts.emplace(account, Account {}).first;
-    found->second.fresh[indexOf(rank)] += represents;
+    found->second.offered[indexOf(rank)] += represents;
 }
 
-void ShedBudget::update(const Observation& seen)
+void ShedBudget::update(const Observation& observation)
 {
-    const double elapsed = std::chrono::duration<double>(seen.elapsed).count();
+    const double elapsed = std::chrono::duration<double>(observation.elapsed).count();
     if (elapsed <= 0)
         return;
-    smoothDemand(elapsed);
-    smoothCapacity(seen, elapsed);
+    updateDemand(elapsed);
+    updateBudget(observation, elapsed);
     placeBorder();
 }
 
 // Rank totals adapt fast; the shares of accounts adapt slowly, because each account has few samples.
-void ShedBudget::smoothDemand(double elapsed)
+void ShedBudget::updateDemand(double elapsed)
 {
-    const double slow = smoothing(elapsed, slowMemory);
-    ByRank fresh {};
+    const double slow = ewmaWeight(elapsed, accountTimeConstant);
+    ByRank offered {};
     for (auto& [name, account] : m_accounts) {
         for (size_t i = 0; i < rankCount; ++i) {
-            fresh[i] += account.fresh[i];
-            account.rate[i] += slow * (account.fresh[i] / elapsed - account.rate[i]);
+            offered[i] += account.offered[i];
+            account.rate[i] += slow * (account.offered[i] / elapsed - account.rate[i]);
         }
-        account.fresh = {};
+        account.offered = {};
     }
     for (size_t i = 0; i < rankCount; ++i) {
-        m_demand[i] += smoothing(elapsed, memoryAt(m_demand[i])) * (fresh[i] / elapsed - m_demand[i]);
-        m_slowDemand[i] += slow * (fresh[i] / elapsed - m_slowDemand[i]);
+        m_demand[i] += ewmaWeight(elapsed, timeConstantFor(m_demand[i])) * (offered[i] / elapsed - m_demand[i]);
+        m_slowDemand[i] += slow * (offered[i] / elapsed - m_slowDemand[i]);
     }
-    if (++m_updates % forgetEvery == 0) {
+    if (++m_updates % updatesPerSweep == 0) {
         std::erase_if(m_accounts, [](const auto& entry) {
             const auto& rate = entry.second.rate;
-            return std::accumulate(rate.begin(), rate.end(), 0.0) < forgottenRate;
+            return std::accumulate(rate.begin(), rate.end(), 0.0) < idleRate;
         });
     }
 }
 
 // While saturated, the served rate is the capacity of the backend server, and the budget steers the queue to its target
 // length. Otherwise the budget grows until it no longer limits the demand.
-void ShedBudget::smoothCapacity(const Observation& seen, double elapsed)
+void ShedBudget::updateBudget(const Observation& observation, double elapsed)
 {
     // 1. Update the served rate.
-    m_served += smoothing(elapsed, memoryAt(m_served)) * (seen.ends / elapsed - m_served);
+    m_servedRate
+        += ewmaWeight(elapsed, timeConstantFor(m_servedRate)) * (observation.completions / elapsed - m_servedRate);
     const double demand = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
-    const double waiting = static_cast<double>(seen.waiting);
+    const double waiting = static_cast<double>(observation.waiting);
 
     // 2. Start shedding once the queue has been long for several updates.
     if (!m_shedding) {
-        const bool isLong = seen.overflowed || waiting > queueStart * seen.queueCapacity;
-        m_overflowingUpdates = isLong && seen.saturated ? m_overflowingUpdates + 1 : 0;
+        const bool isLong = observation.overflowed || waiting > queueSheddingStart * observation.queueCapacity;
+        m_overflowingUpdates = isLong && observation.saturated ? m_overflowingUpdates + 1 : 0;
         if (m_overflowingUpdates < updatesBeforeShedding)
             return;
         m_shedding = true;
-        m_budget = m_served;
+        m_budget = m_servedRate;
     }
 
     // 3. Update the budget.
-    if (seen.saturated) {
-        const double horizon = std::max(queueHorizon, std::chrono::duration<double>(seen.serviceTime).count());
-        const double steering = (queueTarget * seen.queueCapacity - waiting) / horizon;
-        m_budget = std::max(m_served + steering, leastBudget * m_served);
+    if (observation.saturated) {
+        const double horizon = std::max(queueHorizon, std::chrono::duration<double>(observation.serviceTime).count());
+        const double correction = (queueTarget * observation.queueCapacity - waiting) / horizon;
+        m_budget = std::max(m_servedRate + correction, minimumBudgetShare * m_servedRate);
     } else {
-        m_budget = std::max(m_budget, m_served) * std::pow(m_policy->recovery, elapsed / 0.05) + 1;
+        m_budget = std::max(m_budget, m_servedRate) * std::pow(m_policy->recovery, elapsed / 0.05) + 1;
     }
 
     // 4. Stop shedding.
-    if (!seen.saturated && m_budget > roomToStop * demand) {
+    if (!observation.saturated && m_budget > stopSheddingFactor * demand) {
         m_shedding = false;
         m_overflowingUpdates = 0;
     }
--- a/src/admission/ShedBudget.h
+++ b/src/admission/ShedBudget.h
@@ -22,7 +22,7 @@
         /// Time since the last update.
         Duration elapsed { 0 };
         /// Attempts that freed their slot, except those that the backend server rejected for overload.
-        uint32_t ends { 0 };
+        uint32_t completions { 0 };
         /// Whether requests were held back for lack of a slot.
         bool saturated { false };
         /// Whether the queue was full or a request timed out in it.
@@ -46,7 +46,7 @@
     using ByRank = std::array<double, rankCount>;
     struct Account {
         // Requests offered since the last update, and their EWMA rate per second.
-        ByRank fresh {};
+        ByRank offered {};
         ByRank rate {};
     };
     using Accounts = std::unordered_map<AccountName, Account, NameHash, std::equal_to<>>;
@@ -62,8 +62,8 @@
     };
     static const std::array<PolicyRow, 2> policies;
 
-    void smoothDemand(double elapsed);
-    void smoothCapacity(const Observation&, double elapsed);
+    void updateDemand(double elapsed);
+    void updateBudget(const Observation&, double elapsed);
     void placeBorder();
     double rateOf(const Account&, size_t rank) const;
     double fairWaterLevel(double budget) const;
@@ -77,7 +77,7 @@
     Accounts m_accounts;
     ByRank m_demand {};
     ByRank m_slowDemand {};
-    double m_served { 0 };
+    double m_servedRate { 0 };
     double m_budget { 0 };
     bool m_shedding { false };
     uint32_t m_overflowingUpdates { 0 };
