--- a/src/admission/ShedBudget.cpp
+++ b/src/admission/ShedBudget.cpp
@@ -14,7 +14,7 @@
     constexpr double longestTimeConstant = 1.0; // seconds
     constexpr double samplesNeeded = 50;
     // Hysteresis: a rank that is not yet shed stays so until its demand exceeds the remaining budget by this factor.
-    constexpr double borderMargin = 1.2;
+    constexpr double cutoffMargin = 1.2;
     constexpr double accountTimeConstant = 1.0; // seconds
     // Time to bring the queue to its target length; the service time if that is longer.
     constexpr double queueHorizon = 0.2; // seconds
@@ -27,7 +27,7 @@
     // Lower bound of the budget, as a share of the served rate.
     constexpr double minimumBudgetShare = 0.8;
     // Maximum passes of water filling; each satisfies the accounts whose rate is below the level.
-    constexpr int waterPasses = 12;
+    constexpr int maximumFairRatePasses = 12;
     // Idle accounts are removed: updates between two sweeps, and the rate below which an account is idle.
     constexpr uint32_t updatesPerSweep = 256;
     constexpr double idleRate = 1e-3; // requests per second
@@ -44,8 +44,8 @@
 
 // Rows in the order of OverloadPolicy.
 const std::array<ShedBudget::PolicyRow, 2> ShedBudget::policies { {
-    { &ShedBudget::fairWaterLevel, &ShedBudget::fairSurvival, &ShedBudget::fairOrder, 1.3 },
-    { &ShedBudget::evenShare, &ShedBudget::evenSurvival, &ShedBudget::hashOrder, 1.5 },
+    { &ShedBudget::maxMinFairRate, &ShedBudget::fairAdmittedShare, &ShedBudget::fairOrder, 1.3 },
+    { &ShedBudget::uniformShare, &ShedBudget::uniformAdmittedShare, &ShedBudget::hashOrder, 1.5 },
 } };
 
 void ShedBudget::choose(OverloadPolicy policy) { m_policy = &policies[static_cast<size_t>(policy)]; }
@@ -65,7 +65,7 @@
         return;
     updateDemand(elapsed);
     updateBudget(observation, elapsed);
-    placeBorder();
+    updateCutoff();
 }
 
 // Rank totals adapt fast; the shares of accounts adapt slowly, because each account has few samples.
@@ -128,22 +128,22 @@
     }
 }
 
-void ShedBudget::placeBorder()
+void ShedBudget::updateCutoff()
 {
-    const size_t borderBefore = std::exchange(m_border, rankCount);
-    m_borderSurvival = 1;
+    const size_t previousCutoff = std::exchange(m_cutoffRank, rankCount);
+    m_cutoffAdmittedShare = 1;
     if (!m_shedding)
         return;
-    double left = m_budget;
+    double remaining = m_budget;
     for (size_t i = 0; i < rankCount; ++i) {
-        const double margin = i < borderBefore ? borderMargin : 1;
-        if (m_demand[i] > margin * left) {
-            m_border = i;
-            m_borderSurvival = std::clamp(left / m_demand[i], 0.0, 1.0);
-            m_share = (this->*m_policy->divide)(left);
+        const double margin = i < previousCutoff ? cutoffMargin : 1;
+        if (m_demand[i] > margin * remaining) {
+            m_cutoffRank = i;
+            m_cutoffAdmittedShare = std::clamp(remaining / m_demand[i], 0.0, 1.0);
+            m_cutoffShare = (this->*m_policy->divide)(remaining);
             return;
         }
-        left = std::max(0.0, left - m_demand[i]);
+        remaining = std::max(0.0, remaining - m_demand[i]);
     }
 }
 
@@ -156,58 +156,58 @@
 }
 
 // Max-min fairness: the rate to which accounts are limited so that the budget is just used up.
-double ShedBudget::fairWaterLevel(double budget) const
+double ShedBudget::maxMinFairRate(double budget) const
 {
     double level = 0;
-    double left = budget;
-    double open = static_cast<double>(m_accounts.size());
-    for (int pass = 0; pass < waterPasses && open > 0; ++pass) {
-        const double next = left / open;
+    double remaining = budget;
+    double unsatisfied = static_cast<double>(m_accounts.size());
+    for (int pass = 0; pass < maximumFairRatePasses && unsatisfied > 0; ++pass) {
+        const double next = remaining / unsatisfied;
         if (pass > 0 && next <= level * 1.0001)
             break;
         level = next;
-        left = budget;
-        open = 0;
+        remaining = budget;
+        unsatisfied = 0;
         for (const auto& [name, account] : m_accounts) {
-            const double rate = rateOf(account, m_border);
+            const double rate = rateOf(account, m_cutoffRank);
             if (rate <= level)
-                left -= rate;
+                remaining -= rate;
             else
-                open += 1;
+                unsatisfied += 1;
         }
     }
     return level;
 }
 
-double ShedBudget::evenShare(double budget) const { return budget / std::max(m_demand[m_border], 1e-9); }
+double ShedBudget::uniformShare(double budget) const { return budget / std::max(m_demand[m_cutoffRank], 1e-9); }
 
-double ShedBudget::fairSurvival(const Account& account) const
+double ShedBudget::fairAdmittedShare(const Account& account) const
 {
-    const double rate = rateOf(account, m_border);
-    return rate <= m_share ? 1 : m_share / rate;
+    const double rate = rateOf(account, m_cutoffRank);
+    return rate <= m_cutoffShare ? 1 : m_cutoffShare / rate;
 }
 
-double ShedBudget::evenSurvival(const Account&) const { return std::min(1.0, m_share); }
+double ShedBudget::uniformAdmittedShare(const Account&) const { return std::min(1.0, m_cutoffShare); }
 
 // Spreads an account's requests evenly up to its rate, so that any cutoff sheds the largest accounts first.
-double ShedBudget::fairOrder(double rate, double survival) const { return rate * survival; }
+double ShedBudget::fairOrder(double rate, double hashUnit) const { return rate * hashUnit; }
 
-double ShedBudget::hashOrder(double, double survival) const { return survival; }
+double ShedBudget::hashOrder(double, double hashUnit) const { return hashUnit; }
 
 double ShedBudget::level(std::string_view account) const
 {
-    if (m_border == rankCount)
+    if (m_cutoffRank == rankCount)
         return 0;
-    const double below = double(rankCount - 1 - m_border);
+    const double below = double(rankCount - 1 - m_cutoffRank);
     const auto found = m_accounts.find(account);
-    return below + 1 - (found == m_accounts.end() ? 1.0 : (this->*m_policy->survive)(found->second));
+    return below + 1 - (found == m_accounts.end() ? 1.0 : (this->*m_policy->admittedShare)(found->second));
 }
 
 double ShedBudget::level() const
 {
-    if (m_border == rankCount)
+    if (m_cutoffRank == rankCount)
         return 0;
-    return double(rankCount - 1 - m_border) + 1 - m_borderSurvival;
+    return double(rankCount - 1 - m_cutoffRank) + 1 - m_cutoffAdmittedShare;
 }
 
 double ShedBudget::order(Rank rank, std::string_view account, uint64_t treeHash) const
--- a/src/admission/ShedBudget.h
+++ b/src/admission/ShedBudget.h
@@ -51,12 +51,12 @@
     };
     using Accounts = std::unordered_map<AccountName, Account, NameHash, std::equal_to<>>;
     using Divide = double (ShedBudget::*)(double budget) const;
-    using Survive = double (ShedBudget::*)(const Account&) const;
-    using Order = double (ShedBudget::*)(double rate, double survival) const;
+    using AdmittedShare = double (ShedBudget::*)(const Account&) const;
+    using Order = double (ShedBudget::*)(double rate, double hashUnit) const;
     // Decisions that depend on the overload policy.
     struct PolicyRow {
         Divide divide;
-        Survive survive;
+        AdmittedShare admittedShare;
         Order order;
         double recovery;
     };
@@ -64,14 +64,14 @@
 
     void updateDemand(double elapsed);
     void updateBudget(const Observation&, double elapsed);
-    void placeBorder();
+    void updateCutoff();
     double rateOf(const Account&, size_t rank) const;
-    double fairWaterLevel(double budget) const;
-    double evenShare(double budget) const;
-    double fairSurvival(const Account&) const;
-    double evenSurvival(const Account&) const;
-    double fairOrder(double rate, double survival) const;
-    double hashOrder(double rate, double survival) const;
+    double maxMinFairRate(double budget) const;
+    double uniformShare(double budget) const;
+    double fairAdmittedShare(const Account&) const;
+    double uniformAdmittedShare(const Account&) const;
+    double fairOrder(double rate, double hashUnit) const;
+    double hashOrder(double rate, double hashUnit) const;
 
     const PolicyRow* m_policy { nullptr };
     Accounts m_accounts;
@@ -82,9 +82,9 @@
     bool m_shedding { false };
     uint32_t m_overflowingUpdates { 0 };
     // The rank in which the budget runs out, and how the policy divides the remaining budget there.
-    size_t m_border { rankCount };
-    double m_share { 0 };
-    double m_borderSurvival { 1 };
+    size_t m_cutoffRank { rankCount };
+    double m_cutoffShare { 0 };
+    double m_cutoffAdmittedShare { 1 };
     uint32_t m_updates { 0 };
 };
 
