--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -69,8 +69,8 @@
     m_configured = true;
     m_configuredAt = now;
     m_settings = settings;
-    m_budget.choose(settings.policy);
-    m_lagBudget.choose(settings.policy);
+    m_budget.setPolicy(settings.policy);
+    m_lagBudget.setPolicy(settings.policy);
     m_limit.configure(settings.slots, m_coldStartAt, settings.slowStart);
 }
 
@@ -133,8 +133,8 @@
     // its deadline. With spare capacity, an attempt costs other requests nothing.
     if (m_tickets.contains(context.attempt))
         return refusal(Reason::Duplicate);
-    m_budget.noteOffer(context.rank, context.account, context.represents);
-    m_lagBudget.noteOffer(context.rank, context.account, context.represents);
+    m_budget.recordOffered(context.rank, context.account, context.represents);
+    m_lagBudget.recordOffered(context.rank, context.account, context.represents);
     const bool isFree = m_queue.empty() && m_running < (this->*m_strategy.limit)(now);
     Ticket ticket { context.route, {}, deadline, Duration(0), now };
     if (below == RoomBelow::Short && context.depth == 1)
--- a/src/admission/ShedBudget.cpp
+++ b/src/admission/ShedBudget.cpp
@@ -48,9 +48,9 @@
     { &ShedBudget::uniformShare, &ShedBudget::uniformAdmittedShare, &ShedBudget::hashOrder, 1.5 },
 } };
 
-void ShedBudget::choose(OverloadPolicy policy) { m_policy = &policies[static_cast<size_t>(policy)]; }
+void ShedBudget::setPolicy(OverloadPolicy policy) { m_policy = &policies[static_cast<size_t>(policy)]; }
 
-void ShedBudget::noteOffer(Rank rank, std::string_view account, double represents)
+void ShedBudget::recordOffered(Rank rank, std::string_view account, double represents)
 {
     auto found = m_accounts.find(account);
     if (found == m_accounts.end())
--- a/src/admission/ShedBudget.h
+++ b/src/admission/ShedBudget.h
@@ -12,11 +12,11 @@
 /// Not thread-safe; protected by the gate's lock.
 class ShedBudget {
 public:
-    explicit ShedBudget(OverloadPolicy policy) { choose(policy); }
-    void choose(OverloadPolicy);
+    explicit ShedBudget(OverloadPolicy policy) { setPolicy(policy); }
+    void setPolicy(OverloadPolicy);
 
     /// Counts an offered request, shed or not; `represents` is the number of requests that it stands for.
-    void noteOffer(Rank, std::string_view account, double represents);
+    void recordOffered(Rank, std::string_view account, double represents);
     /// Observations of the gate since the last update.
     struct Observation {
         /// Time since the last update.
