--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -90,8 +90,8 @@
 
 Gate::Place Gate::placeByWorth(const RequestContext& context)
 {
-    const double order = context.parentKnown ? m_budget.order(context.rank, context.account, context.treeHash) : 0;
-    return { context.rank, isNewWork(context), order, ++m_sequence };
+    const double sortKey = context.parentKnown ? m_budget.sortKey(context.rank, context.account, context.treeHash) : 0;
+    return { context.rank, isNewWork(context), sortKey, ++m_sequence };
 }
 
 Gate::Place Gate::placeByArrival(const RequestContext&) { return { lowestRank, true, 0, ++m_sequence }; }
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -47,7 +47,7 @@
         Rank rank;
         // Calls of running requests precede new work of their rank; otherwise the work already done is wasted.
         bool isNewWork { true };
-        double order { 0 };
+        double sortKey { 0 };
         uint64_t sequence { 0 };
         auto operator<=>(const Place&) const = default; // NOLINT(modernize-use-nullptr)
     };
--- a/src/admission/ShedBudget.cpp
+++ b/src/admission/ShedBudget.cpp
@@ -44,8 +44,8 @@
 
 // Rows in the order of OverloadPolicy.
 const std::array<ShedBudget::PolicyRow, 2> ShedBudget::policies { {
-    { &ShedBudget::maxMinFairRate, &ShedBudget::fairAdmittedShare, &ShedBudget::fairOrder, 1.3 },
-    { &ShedBudget::uniformShare, &ShedBudget::uniformAdmittedShare, &ShedBudget::hashOrder, 1.5 },
+    { &ShedBudget::maxMinFairRate, &ShedBudget::fairAdmittedShare, &ShedBudget::fairSortKey, 1.3 },
+    { &ShedBudget::uniformShare, &ShedBudget::uniformAdmittedShare, &ShedBudget::hashSortKey, 1.5 },
 } };
 
 void ShedBudget::setPolicy(OverloadPolicy policy) { m_policy = &policies[static_cast<size_t>(policy)]; }
@@ -190,9 +190,9 @@
 double ShedBudget::uniformAdmittedShare(const Account&) const { return std::min(1.0, m_cutoffShare); }
 
 // Spreads an account's requests evenly up to its rate, so that any cutoff sheds the largest accounts first.
-double ShedBudget::fairOrder(double rate, double hashUnit) const { return rate * hashUnit; }
+double ShedBudget::fairSortKey(double rate, double hashUnit) const { return rate * hashUnit; }
 
-double ShedBudget::hashOrder(double, double hashUnit) const { return hashUnit; }
+double ShedBudget::hashSortKey(double, double hashUnit) const { return hashUnit; }
 
 double ShedBudget::level(std::string_view account) const
 {
@@ -210,11 +210,11 @@
     return double(rankCount - 1 - m_cutoffRank) + 1 - m_cutoffAdmittedShare;
 }
 
-double ShedBudget::order(Rank rank, std::string_view account, uint64_t treeHash) const
+double ShedBudget::sortKey(Rank rank, std::string_view account, uint64_t treeHash) const
 {
     const auto found = m_accounts.find(account);
     const double rate = found == m_accounts.end() ? 0 : rateOf(found->second, indexOf(rank));
-    return (this->*m_policy->order)(rate, unitOfHash(treeHash));
+    return (this->*m_policy->sortKey)(rate, unitOfHash(treeHash));
 }
 
 } // namespace Vanillaridge
--- a/src/admission/ShedBudget.h
+++ b/src/admission/ShedBudget.h
@@ -40,7 +40,7 @@
     /// Shed level over all accounts.
     double level() const;
     /// Sort key of a request in the queue within its rank, lowest first.
-    double order(Rank, std::string_view account, uint64_t treeHash) const;
+    double sortKey(Rank, std::string_view account, uint64_t treeHash) const;
 
 private:
     using ByRank = std::array<double, rankCount>;
@@ -52,12 +52,12 @@
     using Accounts = std::unordered_map<AccountName, Account, NameHash, std::equal_to<>>;
     using Divide = double (ShedBudget::*)(double budget) const;
     using AdmittedShare = double (ShedBudget::*)(const Account&) const;
-    using Order = double (ShedBudget::*)(double rate, double hashUnit) const;
+    using SortKey = double (ShedBudget::*)(double rate, double hashUnit) const;
     // Decisions that depend on the overload policy.
     struct PolicyRow {
         Divide divide;
         AdmittedShare admittedShare;
-        Order order;
+        SortKey sortKey;
         double recovery;
     };
     static const std::array<PolicyRow, 2> policies;
@@ -70,8 +70,8 @@
     double uniformShare(double budget) const;
     double fairAdmittedShare(const Account&) const;
     double uniformAdmittedShare(const Account&) const;
-    double fairOrder(double rate, double hashUnit) const;
-    double hashOrder(double rate, double hashUnit) const;
+    double fairSortKey(double rate, double hashUnit) const;
+    double hashSortKey(double rate, double hashUnit) const;
 
     const PolicyRow* m_policy { nullptr };
     Accounts m_accounts;
