--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -38,11 +38,11 @@
 } // namespace
 
 const std::array<Gate::StrategyRow, 5> Gate::strategies { {
-    { &Gate::adaptiveLimit, &Gate::isShedByLevel, &Gate::placeByWorth, &Gate::isDroppedUnlessCritical, 1 },
-    { &Gate::noLimit, &Gate::isNeverShed, &Gate::placeByArrival, &Gate::isNeverDropped, 1 },
-    { &Gate::declaredLimit, &Gate::isNeverShed, &Gate::placeByArrival, &Gate::isDroppedAtLimit, 1 },
-    { &Gate::declaredLimit, &Gate::isNeverShed, &Gate::placeByArrival, &Gate::isDroppedByDelay, 100 },
-    { &Gate::adaptiveLimit, &Gate::isShedByLevel, &Gate::placeByWorth, &Gate::isDroppedUnlessCritical, 1 },
+    { &Gate::adaptiveLimit, &Gate::isShedByLevel, &Gate::positionByPriority, &Gate::isDroppedUnlessCritical, 1 },
+    { &Gate::noLimit, &Gate::isNeverShed, &Gate::positionByArrival, &Gate::isNeverDropped, 1 },
+    { &Gate::declaredLimit, &Gate::isNeverShed, &Gate::positionByArrival, &Gate::isDroppedAtWaitTimeout, 1 },
+    { &Gate::declaredLimit, &Gate::isNeverShed, &Gate::positionByArrival, &Gate::isDroppedByDelay, 100 },
+    { &Gate::adaptiveLimit, &Gate::isShedByLevel, &Gate::positionByPriority, &Gate::isDroppedUnlessCritical, 1 },
 } };
 
 Gate::Gate(Clock& clock, RandomSource& random, AdmissionStrategy strategy)
@@ -88,22 +88,22 @@
 
 bool Gate::isNeverShed(const RequestContext&) const { return false; }
 
-Gate::Place Gate::placeByWorth(const RequestContext& context)
+Gate::QueuePosition Gate::positionByPriority(const RequestContext& context)
 {
     const double sortKey = context.parentKnown ? m_budget.sortKey(context.rank, context.account, context.treeHash) : 0;
     return { context.rank, isNewWork(context), sortKey, ++m_sequence };
 }
 
-Gate::Place Gate::placeByArrival(const RequestContext&) { return { lowestRank, true, 0, ++m_sequence }; }
+Gate::QueuePosition Gate::positionByArrival(const RequestContext&) { return { lowestRank, true, 0, ++m_sequence }; }
 
 // Critical requests wait as long as they can meet their deadline; less important ones are dropped in their favor.
 bool Gate::isDroppedUnlessCritical(const Ticket& ticket, Instant now)
 {
-    const bool makesWay = ticket.parentKnown && ticket.place.rank.account != Importance::Critical;
-    return makesWay && isDroppedAtLimit(ticket, now);
+    const bool isDroppable = ticket.parentKnown && ticket.position.rank.account != Importance::Critical;
+    return isDroppable && isDroppedAtWaitTimeout(ticket, now);
 }
 
-bool Gate::isDroppedAtLimit(const Ticket& ticket, Instant now) { return now - ticket.since > longestWait(); }
+bool Gate::isDroppedAtWaitTimeout(const Ticket& ticket, Instant now) { return now - ticket.since > waitTimeout(); }
 
 bool Gate::isNeverDropped(const Ticket&, Instant) { return false; }
 
@@ -141,7 +141,7 @@
         ticket.expected = m_serviceTimes.highEstimate(context.route, now);
     else if (!isFree)
         ticket.expected = m_serviceTimes.lowEstimate(context.route, now);
-    if (ticket.cannotFinish(now))
+    if (ticket.missesDeadline(now))
         return refusal(Reason::DeadlineExceeded, ticket.expected);
 
     // 2. Use a free slot regardless of the shed level.
@@ -157,28 +157,28 @@
 AdmissionDecision Gate::enqueueOrRefuse(const RequestContext& context, Ticket ticket)
 {
     m_saturated = true;
-    const Place place = (this->*m_strategy.place)(context);
+    const QueuePosition position = (this->*m_strategy.position)(context);
 
     // 1. Shed by level or because the queue is full. If a less important request is waiting, evict that one instead; a
     // waiting call is evicted only when the queue is full.
-    const bool isFull = double(m_queue.size()) >= queueCapacity() * m_strategy.queueFactor;
+    const bool isFull = double(m_queue.size()) >= queueCapacity() * m_strategy.queueCapacityFactor;
     const bool isShed = (this->*m_strategy.isShed)(context);
     m_overflowed |= isFull;
     if (isShed || isFull) {
-        const bool isWorse = m_queue.empty() || m_queue.rbegin()->first < place;
-        const bool sameRank = !m_queue.empty() && m_queue.rbegin()->first.rank == place.rank;
-        const bool isCallLast = !m_queue.empty() && !m_queue.rbegin()->first.isNewWork;
-        if (isWorse || (isShed && (sameRank || (isCallLast && !isFull))))
+        const bool wouldBeLast = m_queue.empty() || m_queue.rbegin()->first < position;
+        const bool sameRank = !m_queue.empty() && m_queue.rbegin()->first.rank == position.rank;
+        const bool isLastCall = !m_queue.empty() && !m_queue.rbegin()->first.isNewWork;
+        if (wouldBeLast || (isShed && (sameRank || (isLastCall && !isFull))))
             return refusal(isShed ? Reason::ShedAtGuard : Reason::QueueFull);
-        evictWorst(Reason::ShedAtGuard);
+        evictLast(Reason::ShedAtGuard);
     }
 
     // 2. Enqueue.
-    ticket.place = place;
+    ticket.position = position;
     ticket.parentKnown = context.parentKnown;
     ticket.waiting = true;
     m_tickets.emplace(context.attempt, std::move(ticket));
-    m_queue.emplace(place, context.attempt);
+    m_queue.emplace(position, context.attempt);
     return { AdmissionVerdict::Waiting };
 }
 
@@ -195,7 +195,7 @@
     return { AdmissionVerdict::Refused, reason, m_random.jittered(base, retryAfterJitter), expected };
 }
 
-void Gate::evictWorst(Reason reason) { refuse(std::prev(m_queue.end()), reason); }
+void Gate::evictLast(Reason reason) { refuse(std::prev(m_queue.end()), reason); }
 
 void Gate::refuse(Queue::iterator waiting, Reason reason)
 {
@@ -241,7 +241,7 @@
     const auto found = m_tickets.find(attempt);
     if (found == m_tickets.end() || !found->second.waiting)
         return;
-    m_queue.erase(found->second.place);
+    m_queue.erase(found->second.position);
     m_tickets.erase(found);
 }
 
@@ -251,9 +251,9 @@
     const auto now = m_clock.now();
     if (now - m_scannedAt >= scanPeriod) {
         m_scannedAt = now;
-        refuseLate(now);
+        refuseExpired(now);
     }
-    startWaiting(now);
+    startQueued(now);
     if (now - m_updatedAt >= updatePeriod)
         update(now, lag);
     for (auto& change : std::exchange(m_changes, {})) {
@@ -264,31 +264,31 @@
 
 // Refuses requests that exceeded the wait timeout or can no longer meet their deadline. With a request that timed out,
 // new work of lower rank is refused too: it would wait in vain, and must not outlive a more important request.
-void Gate::refuseLate(Instant now)
+void Gate::refuseExpired(Instant now)
 {
-    auto lowestLeft = lowestRank;
+    auto lowestRemaining = lowestRank;
     for (auto waiting = m_queue.begin(); waiting != m_queue.end();) {
         const auto present = waiting++;
         const auto& ticket = m_tickets.at(present->second);
-        if (ticket.cannotFinish(now)) {
+        if (ticket.missesDeadline(now)) {
             refuse(present, Reason::DeadlineExceeded);
-        } else if (present->first.isNewWork && present->first.rank > lowestLeft) {
+        } else if (present->first.isNewWork && present->first.rank > lowestRemaining) {
             refuse(present, Reason::ShedAtGuard);
         } else if ((this->*m_strategy.isDropped)(ticket, now)) {
             m_overflowed = true;
-            lowestLeft = present->first.rank;
+            lowestRemaining = present->first.rank;
             refuse(present, Reason::QueueTimeout);
         }
     }
 }
 
-void Gate::startWaiting(Instant now)
+void Gate::startQueued(Instant now)
 {
     const auto limit = (this->*m_strategy.limit)(now);
     while (m_running < limit && !m_queue.empty()) {
         const auto best = m_queue.begin();
         auto& ticket = m_tickets.at(best->second);
-        if (ticket.cannotFinish(now)) {
+        if (ticket.missesDeadline(now)) {
             refuse(best, Reason::DeadlineExceeded);
             continue;
         }
@@ -336,11 +336,11 @@
 {
     const double limit = m_limit.current(m_clock.now());
     const double rate = m_serviceTime > 0 ? limit / m_serviceTime : limit;
-    return std::max(shortestQueue, std::min(rate * inSeconds(longestWait()), 4 * limit));
+    return std::max(shortestQueue, std::min(rate * inSeconds(waitTimeout()), 4 * limit));
 }
 
 // A slow backend server rarely frees a slot, so waiting for one takes about as long as its service time.
-Duration Gate::longestWait() const { return std::max(m_settings.queueLimit, expectedService()); }
+Duration Gate::waitTimeout() const { return std::max(m_settings.queueLimit, expectedService()); }
 
 LoadFeedback Gate::feedback(std::optional<std::string_view> account) const
 {
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -43,17 +43,17 @@
 
 private:
     // Position in the queue, highest priority first.
-    struct Place {
+    struct QueuePosition {
         Rank rank;
         // Calls of running requests precede new work of their rank; otherwise the work already done is wasted.
         bool isNewWork { true };
         double sortKey { 0 };
         uint64_t sequence { 0 };
-        auto operator<=>(const Place&) const = default; // NOLINT(modernize-use-nullptr)
+        auto operator<=>(const QueuePosition&) const = default; // NOLINT(modernize-use-nullptr)
     };
     struct Ticket {
         RouteName route;
-        Place place;
+        QueuePosition position;
         Instant deadline;
         // Time that must remain before the deadline at the start; 0 if unknown or while capacity is not short.
         Duration expected { 0 };
@@ -61,16 +61,16 @@
         bool waiting { false };
         // A call with an unknown parent does not time out in the queue: sibling calls may have been served.
         bool parentKnown { true };
-        bool cannotFinish(Instant now) const { return now + expected >= deadline; }
+        bool missesDeadline(Instant now) const { return now + expected >= deadline; }
     };
-    using Queue = std::map<Place, AttemptId>;
+    using Queue = std::map<QueuePosition, AttemptId>;
     // Decisions that depend on the strategy. Rows in the order of AdmissionStrategy.
     struct StrategyRow {
         uint32_t (Gate::*limit)(Instant) const;
         bool (Gate::*isShed)(const RequestContext&) const;
-        Place (Gate::*place)(const RequestContext&);
+        QueuePosition (Gate::*position)(const RequestContext&);
         bool (Gate::*isDropped)(const Ticket&, Instant);
-        double queueFactor;
+        double queueCapacityFactor;
     };
     static const std::array<StrategyRow, 5> strategies;
 
@@ -79,10 +79,10 @@
     uint32_t declaredLimit(Instant) const;
     bool isShedByLevel(const RequestContext&) const;
     bool isNeverShed(const RequestContext&) const;
-    Place placeByWorth(const RequestContext&);
-    Place placeByArrival(const RequestContext&);
+    QueuePosition positionByPriority(const RequestContext&);
+    QueuePosition positionByArrival(const RequestContext&);
     bool isDroppedUnlessCritical(const Ticket&, Instant);
-    bool isDroppedAtLimit(const Ticket&, Instant);
+    bool isDroppedAtWaitTimeout(const Ticket&, Instant);
     bool isDroppedByDelay(const Ticket&, Instant);
     bool isNeverDropped(const Ticket&, Instant);
 
@@ -90,15 +90,15 @@
     void update(Instant, Duration lag);
     void updateLagBudget(Instant, Duration lag);
     void start(Ticket&, Instant);
-    void evictWorst(Reason);
+    void evictLast(Reason);
     void refuse(Queue::iterator, Reason);
-    void refuseLate(Instant);
-    void startWaiting(Instant);
+    void refuseExpired(Instant);
+    void startQueued(Instant);
     AdmissionDecision refusal(Reason, Duration expected = Duration(0));
     void noteServiceTime(double spent);
     Duration expectedService() const;
     double queueCapacity() const;
-    Duration longestWait() const;
+    Duration waitTimeout() const;
 
     Clock& m_clock;
     RandomSource& m_random;
