--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -171,9 +171,9 @@
     if (m_state->isShedBelow(context, levelBelow))
         return { AdmissionVerdict::Refused, Reason::ShedAtGuard };
     auto& gate = m_state->gateOf(context.service);
-    if (gate.wantsSettings())
+    if (gate.hasStaleSettings())
         gate.configure(m_state->settingsOf(context.service, *announcement));
-    return gate.offer(context, deadline, levelBelow > 0 ? RoomBelow::Short : RoomBelow::Enough);
+    return gate.offer(context, deadline, levelBelow > 0 ? DownstreamCapacity::Short : DownstreamCapacity::Sufficient);
 }
 
 void Admission::finished(std::string_view service, const AttemptId& attempt, AdmittedEnd end)
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -53,7 +53,7 @@
 {
 }
 
-bool Gate::wantsSettings() const
+bool Gate::hasStaleSettings() const
 {
     std::lock_guard guard(m_lock);
     return !m_configured || m_clock.now() - m_configuredAt >= settingsPeriod;
@@ -123,7 +123,7 @@
     return true;
 }
 
-AdmissionDecision Gate::offer(const RequestContext& context, Instant deadline, RoomBelow below)
+AdmissionDecision Gate::offer(const RequestContext& context, Instant deadline, DownstreamCapacity below)
 {
     std::lock_guard guard(m_lock);
     const auto now = m_clock.now();
@@ -137,7 +137,7 @@
     m_lagBudget.recordOffered(context.rank, context.account, context.represents);
     const bool isFree = m_queue.empty() && m_running < (this->*m_strategy.limit)(now);
     Ticket ticket { context.route, {}, deadline, Duration(0), now };
-    if (below == RoomBelow::Short && context.depth == 1)
+    if (below == DownstreamCapacity::Short && context.depth == 1)
         ticket.expected = m_serviceTimes.highEstimate(context.route, now);
     else if (!isFree)
         ticket.expected = m_serviceTimes.lowEstimate(context.route, now);
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -19,17 +19,17 @@
 };
 
 /// Whether a downstream service that the request will call is shedding load.
-enum class RoomBelow : uint8_t { Enough, Short };
+enum class DownstreamCapacity : uint8_t { Sufficient, Short };
 
 class Gate {
 public:
     Gate(Clock&, RandomSource&, AdmissionStrategy);
 
     /// Whether the settings are due to be read from the board again.
-    bool wantsSettings() const;
+    bool hasStaleSettings() const;
     void configure(const GateSettings&);
 
-    AdmissionDecision offer(const RequestContext&, Instant deadline, RoomBelow);
+    AdmissionDecision offer(const RequestContext&, Instant deadline, DownstreamCapacity);
     /// Frees the slot of an admitted attempt.
     /// \return the attempt's route; nothing if the attempt held no slot
     std::optional<RouteName> finished(const AttemptId&, AdmittedEnd);
