--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -123,7 +123,7 @@
     return true;
 }
 
-AdmissionDecision Gate::offer(const RequestContext& context, Instant deadline, DownstreamCapacity below)
+AdmissionDecision Gate::offer(const RequestContext& context, Instant deadline, DownstreamCapacity downstream)
 {
     std::lock_guard guard(m_lock);
     const auto now = m_clock.now();
@@ -137,7 +137,7 @@
     m_lagBudget.recordOffered(context.rank, context.account, context.represents);
     const bool isFree = m_queue.empty() && m_running < (this->*m_strategy.limit)(now);
     Ticket ticket { context.route, {}, deadline, Duration(0), now };
-    if (below == DownstreamCapacity::Short && context.depth == 1)
+    if (downstream == DownstreamCapacity::Short && context.depth == 1)
         ticket.expected = m_serviceTimes.highEstimate(context.route, now);
     else if (!isFree)
         ticket.expected = m_serviceTimes.lowEstimate(context.route, now);
