--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -12,20 +12,20 @@
     constexpr Duration updatePeriod = milliseconds(20);
     constexpr Duration settingsPeriod = milliseconds(50);
     constexpr Duration scanPeriod = milliseconds(1);
-    constexpr Duration forgetPeriod = seconds(1);
+    constexpr Duration expiryPeriod = seconds(1);
     // EWMA weight of a new sample of service or queue time.
-    constexpr double timeSmoothing = 0.05;
+    constexpr double timeEwmaWeight = 0.05;
     // Decay of the average service time while nothing is served: a wrong average must not refuse all requests forever.
-    constexpr double serviceTimeMemory = 1; // seconds
-    constexpr double shortestQueue = 4;
+    constexpr double serviceTimeDecay = 1; // seconds
+    constexpr double minimumQueueCapacity = 4;
     // Event loop lag at which the node counts as full. Shedding starts at half of it and steers the lag to a quarter:
     // in the deployments served, a request has 1.5 s and passes a lagging node about twenty times (five sequential
     // calls, each with request and response at two nodes).
-    constexpr Duration fullLag = milliseconds(20);
+    constexpr Duration saturationLag = milliseconds(20);
     // QueueDelay baseline: dropping starts once the delay has exceeded the target for the interval, as in CoDel.
     constexpr Duration delayTarget = milliseconds(5);
     constexpr Duration delayInterval = milliseconds(100);
-    constexpr Duration shortestRetryAfter = milliseconds(250);
+    constexpr Duration minimumRetryAfter = milliseconds(250);
     constexpr Duration retryAfterPerLevel = seconds(2);
     constexpr double retryAfterJitter = 0.5;
 
@@ -191,7 +191,7 @@
 
 AdmissionDecision Gate::refusal(Reason reason, Duration expected)
 {
-    const auto base = shortestRetryAfter + fromSeconds(inSeconds(retryAfterPerLevel) * m_budget.level());
+    const auto base = minimumRetryAfter + fromSeconds(inSeconds(retryAfterPerLevel) * m_budget.level());
     return { AdmissionVerdict::Refused, reason, m_random.jittered(base, retryAfterJitter), expected };
 }
 
@@ -211,13 +211,13 @@
     if (found == m_tickets.end() || found->second.waiting)
         return std::nullopt;
     const auto now = m_clock.now();
-    const auto spent = now - found->second.since;
-    m_limit.recordCompletion(end, spent, m_running);
+    const auto serviceTime = now - found->second.since;
+    m_limit.recordCompletion(end, serviceTime, m_running);
     if (end != AdmittedEnd::Overloaded)
-        ++m_ends;
+        ++m_completions;
     if (end == AdmittedEnd::Served) {
-        m_serviceTimes.record(found->second.route, spent, now);
-        noteServiceTime(inSeconds(spent));
+        m_serviceTimes.record(found->second.route, serviceTime, now);
+        recordServiceTime(inSeconds(serviceTime));
     }
     auto route = std::move(found->second.route);
     m_tickets.erase(found);
@@ -225,14 +225,14 @@
     return route;
 }
 
-void Gate::noteServiceTime(double spent)
+void Gate::recordServiceTime(double serviceTime)
 {
     ++m_served;
     if (m_serviceTime <= 0) {
-        m_serviceTime = spent;
+        m_serviceTime = serviceTime;
         return;
     }
-    m_serviceTime += timeSmoothing * (spent - m_serviceTime);
+    m_serviceTime += timeEwmaWeight * (serviceTime - m_serviceTime);
 }
 
 void Gate::abandon(const AttemptId& attempt)
@@ -292,7 +292,7 @@
             refuse(best, Reason::DeadlineExceeded);
             continue;
         }
-        m_queueTime += timeSmoothing * (inSeconds(now - ticket.since) - m_queueTime);
+        m_queueTime += timeEwmaWeight * (inSeconds(now - ticket.since) - m_queueTime);
         start(ticket, now);
         m_changes.push_back({ best->second, {}, { AdmissionVerdict::Admitted } });
         m_queue.erase(best);
@@ -304,26 +304,26 @@
 void Gate::updateLagBudget(Instant now, Duration lag)
 {
     const auto elapsed = now - m_updatedAt;
-    const double rate = m_ends / inSeconds(elapsed);
-    m_lagBudget.update({ elapsed, m_ends, lag > fullLag / 4, lag > fullLag / 2,
-        static_cast<size_t>(rate * inSeconds(lag)), rate * inSeconds(fullLag), Duration(0) });
+    const double rate = m_completions / inSeconds(elapsed);
+    m_lagBudget.update({ elapsed, m_completions, lag > saturationLag / 4, lag > saturationLag / 2,
+        static_cast<size_t>(rate * inSeconds(lag)), rate * inSeconds(saturationLag), Duration(0) });
 }
 
 void Gate::update(Instant now, Duration lag)
 {
     m_saturated |= !m_queue.empty();
     if (!m_served)
-        m_serviceTime *= std::exp(-inSeconds(now - m_updatedAt) / serviceTimeMemory);
-    m_budget.update(
-        { now - m_updatedAt, m_ends, m_saturated, m_overflowed, m_queue.size(), queueCapacity(), expectedService() });
+        m_serviceTime *= std::exp(-inSeconds(now - m_updatedAt) / serviceTimeDecay);
+    m_budget.update({ now - m_updatedAt, m_completions, m_saturated, m_overflowed, m_queue.size(), queueCapacity(),
+        expectedService() });
     updateLagBudget(now, lag);
     m_limit.update(now, m_saturated);
-    if (now - m_forgottenAt >= forgetPeriod) {
+    if (now - m_expiredAt >= expiryPeriod) {
         m_serviceTimes.expire(now);
-        m_forgottenAt = now;
+        m_expiredAt = now;
     }
     m_updatedAt = now;
-    m_ends = 0;
+    m_completions = 0;
     m_served = 0;
     m_saturated = false;
     m_overflowed = false;
@@ -336,7 +336,7 @@
 {
     const double limit = m_limit.current(m_clock.now());
     const double rate = m_serviceTime > 0 ? limit / m_serviceTime : limit;
-    return std::max(shortestQueue, std::min(rate * inSeconds(waitTimeout()), 4 * limit));
+    return std::max(minimumQueueCapacity, std::min(rate * inSeconds(waitTimeout()), 4 * limit));
 }
 
 // A slow backend server rarely frees a slot, so waiting for one takes about as long as its service time.
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -95,7 +95,7 @@
     void refuseExpired(Instant);
     void startQueued(Instant);
     AdmissionDecision refusal(Reason, Duration expected = Duration(0));
-    void noteServiceTime(double spent);
+    void recordServiceTime(double serviceTime);
     Duration expectedService() const;
     double queueCapacity() const;
     Duration waitTimeout() const;
@@ -124,8 +124,8 @@
     // Since the last update.
     Instant m_updatedAt;
     Instant m_scannedAt;
-    Instant m_forgottenAt;
-    uint32_t m_ends { 0 };
+    Instant m_expiredAt;
+    uint32_t m_completions { 0 };
     uint32_t m_served { 0 };
     bool m_saturated { false };
     bool m_overflowed { false };
