--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -9,11 +9,11 @@
 namespace {
 
     // Calls per request from which a route is assumed to require the called route.
-    constexpr double neededCalls = 0.5;
+    constexpr double requiredCallRatio = 0.5;
     // Requests to count before the call ratios are used.
-    constexpr double requestsToLearn = 8;
+    constexpr double neededRequests = 8;
     // Time-to-live of a shed record.
-    constexpr Duration shedRecordLife = seconds(1);
+    constexpr Duration shedRecordTtl = seconds(1);
     // Share of requests let through as probes although they would be shed downstream, to detect when shedding stops:
     // about one per second and guard at 100 requests per second.
     constexpr double probeFraction = 0.01;
@@ -96,28 +96,28 @@
     }
 
     // Downstream routes that most requests of this route call.
-    std::vector<RouteName> neededRoutes(const RouteName& route)
+    std::vector<RouteName> requiredRoutes(const RouteName& route)
     {
-        std::vector<RouteName> needed;
+        std::vector<RouteName> required;
         board.routeCalls().visit(route, [&](RouteCallsRecord& record) {
-            if (record.requests < requestsToLearn)
+            if (record.requests < neededRequests)
                 return;
             for (const auto& [called, count] : record.calls) {
-                if (count >= neededCalls * record.requests)
-                    needed.push_back(called);
+                if (count >= requiredCallRatio * record.requests)
+                    required.push_back(called);
             }
         });
-        return needed;
+        return required;
     }
 
-    double shedLevelBelow(const RequestContext& context)
+    double downstreamShedLevel(const RequestContext& context)
     {
         double level = 0;
-        for (const auto& route : neededRoutes(context.route)) {
+        for (const auto& route : requiredRoutes(context.route)) {
             // Calls to open routes carry no account.
             for (const auto& account : { context.account, AccountName() }) {
                 board.shedRecords().visit({ route, account }, [&](ShedRecord& record) {
-                    if (clock.now() - record.at < shedRecordLife)
+                    if (clock.now() - record.at < shedRecordTtl)
                         level = std::max(level, record.level);
                 });
             }
@@ -127,20 +127,20 @@
 
     // Whether a request at the root of its call tree would be shed downstream, which would waste all work done for it.
     // A service's guards see all its requests, so they know of downstream load that an entry with few requests misses.
-    bool isShedBelow(const RequestContext& context, double level)
+    bool isShedDownstream(const RequestContext& context, double level)
     {
         if (strategy != AdmissionStrategy::Adaptive || !context.parentKnown || context.depth > 1)
             return false;
-        const double survival = survivalAt(context.rank, context.depth, level);
-        if (survival >= 1)
+        const double admittedShare = survivalAt(context.rank, context.depth, level);
+        if (admittedShare >= 1)
             return false;
         if (sheddingHeight(context) < level && random.unit() >= probeFraction)
             return true;
 
         // Weights the requests let through for the shed ones, so that the overloaded service sees the full demand.
         board.attempts().visit(context.attempt, [&](AttemptRecord& record) {
-            const double passing = survival + (1 - survival) * probeFraction;
-            record.context.represents = std::max(record.context.represents, 1 / passing);
+            const double passedShare = admittedShare + (1 - admittedShare) * probeFraction;
+            record.context.represents = std::max(record.context.represents, 1 / passedShare);
         });
         return false;
     }
@@ -167,13 +167,14 @@
         return { AdmissionVerdict::Refused, Reason::NoServer };
     if (announcement->draining || m_state->board.draining())
         return { AdmissionVerdict::Refused, Reason::Draining };
-    const double levelBelow = m_state->shedLevelBelow(context);
-    if (m_state->isShedBelow(context, levelBelow))
+    const double downstreamLevel = m_state->downstreamShedLevel(context);
+    if (m_state->isShedDownstream(context, downstreamLevel))
         return { AdmissionVerdict::Refused, Reason::ShedAtGuard };
     auto& gate = m_state->gateOf(context.service);
     if (gate.hasStaleSettings())
         gate.configure(m_state->settingsOf(context.service, *announcement));
-    return gate.offer(context, deadline, levelBelow > 0 ? DownstreamCapacity::Short : DownstreamCapacity::Sufficient);
+    return gate.offer(
+        context, deadline, downstreamLevel > 0 ? DownstreamCapacity::Short : DownstreamCapacity::Sufficient);
 }
 
 void Admission::finished(std::string_view service, const AttemptId& attempt, AdmittedEnd end)
@@ -208,7 +209,7 @@
 LoadFeedback Admission::feedback(const RequestContext& context) const
 {
     auto load = m_state->loadOf(context.service, context.account);
-    load.shedLevel = std::max(load.shedLevel, m_state->shedLevelBelow(context));
+    load.shedLevel = std::max(load.shedLevel, m_state->downstreamShedLevel(context));
     return load;
 }
 
