--- a/bench/AdmissionBench.cpp
+++ b/bench/AdmissionBench.cpp
@@ -120,7 +120,7 @@
     context.service = "service-0";
     const auto decision = node->admission.offer(context, node->clock.now() + seconds(1));
     if (decision.verdict == AdmissionVerdict::Admitted)
-        node->admission.finished(context.service, context.attempt, AdmittedEnd::Served);
+        node->admission.finished(context.service, context.attempt, CompletionStatus::Served);
     benchmark::DoNotOptimize(node->admission.feedback(context));
 }
 
--- a/bench/FakeFleet.h
+++ b/bench/FakeFleet.h
@@ -357,11 +357,11 @@
         m_work += length;
         m_events.after(length, [this, &node, tree, context, reply, isCancelled] {
             if (isCancelled)
-                vacate(node, context, AdmittedEnd::Cancelled, Reason::Timeout, reply);
+                vacate(node, context, CompletionStatus::Cancelled, Reason::Timeout, reply);
             else if (node.tier + 1 < m_settings.tiers.size())
                 callDeeper(node, tree, context, reply);
             else
-                vacate(node, context, failsAtEnd ? AdmittedEnd::Failed : AdmittedEnd::Served,
+                vacate(node, context, failsAtEnd ? CompletionStatus::Failed : CompletionStatus::Served,
                     failsAtEnd ? Reason::ConnectionLost : Reason::None, reply);
         });
     }
@@ -378,11 +378,12 @@
                 node.retry.returnFromChild(context.attempt, lent, used);
                 // A refusal further down is the backend server's own failure to those above.
                 const auto told = row(reason).worthAnotherServer ? Reason::ShedAtGuard : reason;
-                vacate(node, context, reason == Reason::None ? AdmittedEnd::Served : AdmittedEnd::Failed, told, reply);
+                vacate(node, context, reason == Reason::None ? CompletionStatus::Served : CompletionStatus::Failed,
+                    told, reply);
             });
     }
 
-    void vacate(Node& node, const RequestContext& context, AdmittedEnd end, Reason reason, const Reply& reply)
+    void vacate(Node& node, const RequestContext& context, CompletionStatus end, Reason reason, const Reply& reply)
     {
         node.admission.finished(context.service, context.attempt, end);
         uint32_t used = 0;
--- a/src/admission/Admission.h
+++ b/src/admission/Admission.h
@@ -37,7 +37,7 @@
 };
 
 /// How an admitted attempt completed, as far as load is concerned.
-enum class AdmittedEnd : uint8_t {
+enum class CompletionStatus : uint8_t {
     /// The backend server answered.
     Served,
     /// The attempt failed for a cause other than load.
@@ -77,7 +77,7 @@
     /// Decides on a new attempt for a local backend server. An attempt that is offered twice is refused as Duplicate.
     AdmissionDecision offer(const RequestContext&, Instant deadline);
     /// Frees the slot of an admitted attempt; ignores unknown attempts. Call settle() next.
-    void finished(std::string_view service, const AttemptId&, AdmittedEnd);
+    void finished(std::string_view service, const AttemptId&, CompletionStatus);
     /// Removes a waiting attempt whose caller has gone away; no change is reported for it.
     void abandon(std::string_view service, const AttemptId&);
     /// Starts or refuses waiting attempts. Call after finished() and every few milliseconds.
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -14,7 +14,7 @@
     void configure(uint32_t slots, Instant coldStartAt, Duration slowStart);
     uint32_t current(Instant) const;
     /// Records a completed attempt, its service time, and the number of attempts that were running.
-    void recordCompletion(AdmittedEnd, Duration serviceTime, uint32_t running);
+    void recordCompletion(CompletionStatus, Duration serviceTime, uint32_t running);
     /// Call every few milliseconds; `saturated` says whether the limit is holding requests back.
     void update(Instant, bool saturated);
     const LimitReport& report() const { return m_report; }
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -204,7 +204,7 @@
     m_queue.erase(waiting);
 }
 
-std::optional<RouteName> Gate::finished(const AttemptId& attempt, AdmittedEnd end)
+std::optional<RouteName> Gate::finished(const AttemptId& attempt, CompletionStatus end)
 {
     std::lock_guard guard(m_lock);
     const auto found = m_tickets.find(attempt);
@@ -213,9 +213,9 @@
     const auto now = m_clock.now();
     const auto serviceTime = now - found->second.since;
     m_limit.recordCompletion(end, serviceTime, m_running);
-    if (end != AdmittedEnd::Overloaded)
+    if (end != CompletionStatus::Overloaded)
         ++m_completions;
-    if (end == AdmittedEnd::Served) {
+    if (end == CompletionStatus::Served) {
         m_serviceTimes.record(found->second.route, serviceTime, now);
         recordServiceTime(inSeconds(serviceTime));
     }
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -32,7 +32,7 @@
     AdmissionDecision offer(const RequestContext&, Instant deadline, DownstreamCapacity);
     /// Frees the slot of an admitted attempt.
     /// \return the attempt's route; nothing if the attempt held no slot
-    std::optional<RouteName> finished(const AttemptId&, AdmittedEnd);
+    std::optional<RouteName> finished(const AttemptId&, CompletionStatus);
     void abandon(const AttemptId&);
     /// Starts or refuses waiting attempts. The lag is that of this node's event loop, where requests queue as well.
     void settle(std::string_view service, Duration lag, std::vector<AdmissionChange>&);
--- a/src/node/GuardAttempt.cpp
+++ b/src/node/GuardAttempt.cpp
@@ -20,11 +20,11 @@
     bool signalsOverload(uint16_t status) { return status == 429 || status == 503; }
     bool isFailure(uint16_t status) { return status >= 500; }
 
-    AdmittedEnd endOf(uint16_t status)
+    CompletionStatus endOf(uint16_t status)
     {
         if (signalsOverload(status))
-            return AdmittedEnd::Overloaded;
-        return isFailure(status) ? AdmittedEnd::Failed : AdmittedEnd::Served;
+            return CompletionStatus::Overloaded;
+        return isFailure(status) ? CompletionStatus::Failed : CompletionStatus::Served;
     }
 
 } // namespace
@@ -124,7 +124,7 @@
         co_return;
     }
     if (m_cancelled != Reason::None) {
-        endAdmission(AdmittedEnd::Cancelled);
+        endAdmission(CompletionStatus::Cancelled);
         refuse(m_cancelled, false);
         co_return;
     }
@@ -165,7 +165,7 @@
         co_return m_admission;
 
     // 3. Given up. It may have been admitted just before, and then holds a slot.
-    endAdmission(AdmittedEnd::Cancelled);
+    endAdmission(CompletionStatus::Cancelled);
     co_return AdmissionDecision { AdmissionVerdict::Refused, m_cancelled, Duration(0) };
 }
 
@@ -182,7 +182,7 @@
 }
 
 // Frees the slot, and starts whoever has waited for it.
-void GuardAttempt::endAdmission(AdmittedEnd end)
+void GuardAttempt::endAdmission(CompletionStatus end)
 {
     auto& control = m_parts.control;
     control.admission.finished(context().service, id(), end);
@@ -196,7 +196,7 @@
     // 1. A connection. Until one is there nothing has been sent.
     m_call = co_await m_parts.backends.connect(server, m_strand, connectPatience);
     if (!m_call) {
-        endAdmission(AdmittedEnd::Overloaded);
+        endAdmission(CompletionStatus::Overloaded);
         refuse(Reason::BackendUnreachable, false);
         co_return;
     }
@@ -205,14 +205,14 @@
     const auto instance = m_instance;
     Endpoint present;
     if (findServer(present) != Reason::None || present != server || m_instance != instance) {
-        endAdmission(AdmittedEnd::Cancelled);
+        endAdmission(CompletionStatus::Cancelled);
         refuse(Reason::Draining, false);
         co_return;
     }
 
     // 3. From here on the request may run.
     if (!m_parts.control.guardLedger.start(id())) {
-        endAdmission(AdmittedEnd::Cancelled);
+        endAdmission(CompletionStatus::Cancelled);
         const bool late = m_parts.clock.now() >= m_deadline;
         refuse(m_cancelled != Reason::None ? m_cancelled : late ? Reason::DeadlineExceeded : Reason::Barred, false);
         co_return;
@@ -225,7 +225,7 @@
             startSendingBody();
         co_await passAnswer();
     } else {
-        endAdmission(AdmittedEnd::Failed);
+        endAdmission(CompletionStatus::Failed);
         refuse(m_cancelled != Reason::None ? m_cancelled : Reason::ConnectionLost, true);
     }
     m_parts.control.guardLedger.finish(id());
@@ -259,14 +259,14 @@
     // 1. The head.
     auto head = co_await m_call->readHead(strayTest());
     if (!head) {
-        endAdmission(m_cancelled != Reason::None ? AdmittedEnd::Cancelled : AdmittedEnd::Failed);
+        endAdmission(m_cancelled != Reason::None ? CompletionStatus::Cancelled : CompletionStatus::Failed);
         refuse(m_cancelled != Reason::None ? m_cancelled : Reason::ConnectionLost, true);
         co_return;
     }
     if (m_answerKind != AnswerKind::Genuine) {
         const bool hasNotRun = m_answerKind == AnswerKind::NotRun;
         m_call->abort();
-        endAdmission(hasNotRun ? AdmittedEnd::Overloaded : AdmittedEnd::Failed);
+        endAdmission(hasNotRun ? CompletionStatus::Overloaded : CompletionStatus::Failed);
         if (hasNotRun)
             m_parts.control.guardLedger.disclaim(id());
         refuse(hasNotRun ? Reason::ServerBusy : Reason::AnswerCutShort, !hasNotRun);
@@ -289,8 +289,8 @@
     // 2. The body. One that ends early is said to.
     const bool whole = !head->hasBody || co_await passAnswerBody();
     endAdmission(whole                    ? endOf(head->status)
-            : m_cancelled != Reason::None ? AdmittedEnd::Cancelled
-                                          : AdmittedEnd::Failed);
+            : m_cancelled != Reason::None ? CompletionStatus::Cancelled
+                                          : CompletionStatus::Failed);
     if (!whole)
         refuse(Reason::AnswerCutShort, true);
 }
--- a/src/node/GuardAttempt.h
+++ b/src/node/GuardAttempt.h
@@ -35,7 +35,7 @@
     void cancel(Reason);
     bool outlives(Reason) const;
     void refuse(Reason, bool started, Duration retryAfter = Duration(0));
-    void endAdmission(AdmittedEnd);
+    void endAdmission(CompletionStatus);
     void report() const;
     uint32_t retriesUsed() const;
     RequestHead headForBackend() const;
--- a/tests/AdmissionGuard.h
+++ b/tests/AdmissionGuard.h
@@ -63,7 +63,7 @@
     {
         if (running.empty())
             return;
-        admission.finished("history", running.front(), AdmittedEnd::Served);
+        admission.finished("history", running.front(), CompletionStatus::Served);
         running.erase(running.begin());
     }
 
--- a/tests/AdmissionTests.cpp
+++ b/tests/AdmissionTests.cpp
@@ -114,7 +114,7 @@
         guard.clock.advance(step);
         while (!ends.empty() && ends.begin()->first <= guard.clock.now()) {
             for (const auto& attempt : ends.begin()->second)
-                guard.admission.finished("history", attempt, AdmittedEnd::Served);
+                guard.admission.finished("history", attempt, CompletionStatus::Served);
             ends.erase(ends.begin());
         }
         for (size_t account = 0; account < rates.size(); ++account) {
@@ -410,7 +410,7 @@
     for (int i = 0; i < 60; ++i)
         guard.offer(guard.request(Importance::Normal));
     for (const auto& attempt : std::exchange(guard.running, {}))
-        guard.admission.finished("history", attempt, AdmittedEnd::Overloaded);
+        guard.admission.finished("history", attempt, CompletionStatus::Overloaded);
     guard.clock.advance(seconds(1));
     guard.settle();
     BOOST_TEST(guard.admission.feedback("history").limit < 60u);
@@ -418,7 +418,7 @@
         guard.clock.advance(milliseconds(10));
         while (guard.offer(guard.request(Importance::Normal)) == AdmissionVerdict::Admitted) { }
         for (const auto& attempt : std::exchange(guard.running, {}))
-            guard.admission.finished("history", attempt, AdmittedEnd::Served);
+            guard.admission.finished("history", attempt, CompletionStatus::Served);
         guard.settle();
     }
     BOOST_TEST(guard.admission.feedback("history").limit == 100u);
--- a/tests/DeepServiceTests.cpp
+++ b/tests/DeepServiceTests.cpp
@@ -70,7 +70,7 @@
         while (!m_ends.empty() && m_ends.begin()->first <= clock.now()) {
             const auto attempt = m_ends.begin()->second;
             m_ends.erase(m_ends.begin());
-            admission.finished("history", attempt, AdmittedEnd::Served);
+            admission.finished("history", attempt, CompletionStatus::Served);
             ++flows[m_flowOf.at(attempt)].served;
         }
     }
--- a/tests/LaggingNodeTests.cpp
+++ b/tests/LaggingNodeTests.cpp
@@ -92,7 +92,7 @@
         while (!m_ends.empty() && m_ends.begin()->first <= clock.now()) {
             const auto context = m_ends.begin()->second;
             m_ends.erase(m_ends.begin());
-            admission.finished("history", context.attempt, AdmittedEnd::Served);
+            admission.finished("history", context.attempt, CompletionStatus::Served);
             settle();
             m_level += (admission.feedback(context).shedLevel - m_level) / 2;
             ++served[static_cast<size_t>(context.rank.account)];
--- a/tests/MixedWorkTests.cpp
+++ b/tests/MixedWorkTests.cpp
@@ -34,7 +34,7 @@
             const auto context = requestOf(route);
             offer(context);
             clock.advance(time);
-            admission.finished("history", context.attempt, AdmittedEnd::Served);
+            admission.finished("history", context.attempt, CompletionStatus::Served);
             settle();
         }
     }
@@ -67,7 +67,7 @@
         while (!ends.empty() && ends.begin()->first <= server.clock.now()) {
             const auto [at, running] = *ends.begin();
             ends.erase(ends.begin());
-            server.admission.finished("history", running.attempt, AdmittedEnd::Served);
+            server.admission.finished("history", running.attempt, CompletionStatus::Served);
             running.flow->served += at <= running.deadline;
         }
         for (size_t i = 0; i < flows.size(); ++i) {
--- a/tests/OverloadCostTests.cpp
+++ b/tests/OverloadCostTests.cpp
@@ -82,7 +82,7 @@
     BusyNode node;
     const double count = node.allocationsPer([&](RequestContext& context) {
         node.admission.offer(context, node.clock.now() + seconds(1));
-        node.admission.finished(context.service, context.attempt, AdmittedEnd::Served);
+        node.admission.finished(context.service, context.attempt, CompletionStatus::Served);
         node.admission.feedback(context);
     });
     BOOST_TEST(count <= 1.1);
--- a/tests/RejectingServerTests.cpp
+++ b/tests/RejectingServerTests.cpp
@@ -72,7 +72,7 @@
             m_ends.erase(m_ends.begin());
             m_atWork -= !rejected;
             (rejected ? m_rejected : m_served) += 1;
-            admission.finished("history", attempt, rejected ? AdmittedEnd::Overloaded : AdmittedEnd::Served);
+            admission.finished("history", attempt, rejected ? CompletionStatus::Overloaded : CompletionStatus::Served);
         }
     }
 
