--- a/bench/OverloadRun.h
+++ b/bench/OverloadRun.h
@@ -76,7 +76,7 @@
         { .name = "no control", .admission = AdmissionStrategy::NoControl, .edge = EdgeShedding::Off },
         { .name = "static limit", .admission = AdmissionStrategy::StaticLimit, .edge = EdgeShedding::Off },
         { .name = "queue delay only", .admission = AdmissionStrategy::QueueDelay, .edge = EdgeShedding::Off },
-        { .name = "no edge shedding", .admission = AdmissionStrategy::AdaptiveAlone, .edge = EdgeShedding::Off },
+        { .name = "no edge shedding", .admission = AdmissionStrategy::AdaptiveLocal, .edge = EdgeShedding::Off },
         { .name = "no retry budget", .retry = RetryStrategy::NoBudget },
         { .name = "pure random", .placement = PlacementStrategy::PureRandom },
     };
--- a/src/admission/Admission.h
+++ b/src/admission/Admission.h
@@ -66,7 +66,7 @@
     StaticLimit,
     QueueDelay,
     /// Like Adaptive, but ignores the load of downstream services.
-    AdaptiveAlone,
+    AdaptiveLocal,
 };
 
 class Admission {
--- a/tests/OverloadTests.cpp
+++ b/tests/OverloadTests.cpp
@@ -27,7 +27,7 @@
 };
 // Neither the entry nor the first guard sheds requests because of downstream overload.
 const Contestant noEdge {
-    .name = "no edge shedding", .admission = AdmissionStrategy::AdaptiveAlone, .edge = EdgeShedding::Off
+    .name = "no edge shedding", .admission = AdmissionStrategy::AdaptiveLocal, .edge = EdgeShedding::Off
 };
 
 } // namespace
