--- a/bench/AdmissionBench.cpp
+++ b/bench/AdmissionBench.cpp
@@ -149,7 +149,7 @@
 
 void settle(benchmark::State& state)
 {
-    run(state, [](RequestContext&) { benchmark::DoNotOptimize(node->admission.settle()); });
+    run(state, [](RequestContext&) { benchmark::DoNotOptimize(node->admission.processQueues()); });
 }
 
 void retryDecision(benchmark::State& state)
--- a/bench/FakeFleet.h
+++ b/bench/FakeFleet.h
@@ -316,7 +316,7 @@
 
     void settle(Node& node)
     {
-        for (auto& change : node.admission.settle()) {
+        for (auto& change : node.admission.processQueues()) {
             const auto found = node.waiting.find(change.attempt);
             auto waiting = std::move(found->second);
             node.waiting.erase(found);
--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -192,11 +192,11 @@
         gate->abandon(attempt);
 }
 
-std::vector<AdmissionChange> Admission::settle()
+std::vector<AdmissionChange> Admission::processQueues()
 {
     std::vector<AdmissionChange> changes;
     m_state->gates.forEach([&](const ServiceName& service, std::unique_ptr<Gate>& gate) {
-        gate->settle(service, m_state->board.lag(), changes);
+        gate->processQueue(service, m_state->board.lag(), changes);
     });
     return changes;
 }
--- a/src/admission/Admission.h
+++ b/src/admission/Admission.h
@@ -76,12 +76,12 @@
 
     /// Decides on a new attempt for a local backend server. An attempt that is offered twice is refused as Duplicate.
     AdmissionDecision offer(const RequestContext&, Instant deadline);
-    /// Frees the slot of an admitted attempt; ignores unknown attempts. Call settle() next.
+    /// Frees the slot of an admitted attempt; ignores unknown attempts. Call processQueues() next.
     void finished(std::string_view service, const AttemptId&, CompletionStatus);
     /// Removes a waiting attempt whose caller has gone away; no change is reported for it.
     void abandon(std::string_view service, const AttemptId&);
     /// Starts or refuses waiting attempts. Call after finished() and every few milliseconds.
-    std::vector<AdmissionChange> settle();
+    std::vector<AdmissionChange> processQueues();
 
     /// Load of a backend server over all accounts.
     LoadFeedback feedback(std::string_view service) const;
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -245,7 +245,7 @@
     m_tickets.erase(found);
 }
 
-void Gate::settle(std::string_view service, Duration lag, std::vector<AdmissionChange>& changes)
+void Gate::processQueue(std::string_view service, Duration lag, std::vector<AdmissionChange>& changes)
 {
     std::lock_guard guard(m_lock);
     const auto now = m_clock.now();
--- a/src/admission/Gate.h
+++ b/src/admission/Gate.h
@@ -35,7 +35,7 @@
     std::optional<RouteName> finished(const AttemptId&, CompletionStatus);
     void abandon(const AttemptId&);
     /// Starts or refuses waiting attempts. The lag is that of this node's event loop, where requests queue as well.
-    void settle(std::string_view service, Duration lag, std::vector<AdmissionChange>&);
+    void processQueue(std::string_view service, Duration lag, std::vector<AdmissionChange>&);
 
     /// Load of the backend server; the shed level is the account's, or that over all accounts if none is given.
     LoadFeedback feedback(std::optional<std::string_view> account) const;
--- a/src/node/Duties.cpp
+++ b/src/node/Duties.cpp
@@ -97,7 +97,7 @@
 {
     auto& control = m_parts.control;
     if (control.waiters.any())
-        control.waiters.tell(control.admission.settle());
+        control.waiters.tell(control.admission.processQueues());
 }
 
 void Duties::reportChanges()
--- a/src/node/GuardAttempt.cpp
+++ b/src/node/GuardAttempt.cpp
@@ -186,7 +186,7 @@
 {
     auto& control = m_parts.control;
     control.admission.finished(context().service, id(), end);
-    control.waiters.tell(control.admission.settle());
+    control.waiters.tell(control.admission.processQueues());
 }
 
 // --- The backend server ---------------------------------------------------------------------------------------------
--- a/tests/AdmissionGuard.h
+++ b/tests/AdmissionGuard.h
@@ -51,7 +51,7 @@
 
     std::vector<AdmissionChange> settle()
     {
-        auto changes = admission.settle();
+        auto changes = admission.processQueues();
         for (const auto& change : changes) {
             if (change.decision.verdict == AdmissionVerdict::Admitted)
                 running.push_back(change.attempt);
--- a/tests/DeepServiceTests.cpp
+++ b/tests/DeepServiceTests.cpp
@@ -43,7 +43,7 @@
                 for (flows[i].due += flows[i].rate / 1000; flows[i].due >= 1; flows[i].due -= 1)
                     send(flows[i], i);
             }
-            for (const auto& change : admission.settle()) {
+            for (const auto& change : admission.processQueues()) {
                 if (change.decision.verdict == AdmissionVerdict::Admitted)
                     m_ends.emplace(clock.now() + work, change.attempt);
             }
--- a/tests/MixedWorkTests.cpp
+++ b/tests/MixedWorkTests.cpp
@@ -82,7 +82,7 @@
                     waiting.emplace(context.attempt, running);
             }
         }
-        for (const auto& change : server.admission.settle()) {
+        for (const auto& change : server.admission.processQueues()) {
             const auto found = waiting.extract(change.attempt);
             if (change.decision.verdict == AdmissionVerdict::Admitted)
                 start(found.mapped());
