--- a/src/admission/Admission.cpp
+++ b/src/admission/Admission.cpp
@@ -177,12 +177,12 @@
         context, deadline, downstreamLevel > 0 ? DownstreamCapacity::Short : DownstreamCapacity::Sufficient);
 }
 
-void Admission::finished(std::string_view service, const AttemptId& attempt, CompletionStatus end)
+void Admission::finished(std::string_view service, const AttemptId& attempt, CompletionStatus status)
 {
     auto* gate = m_state->existingGate(ServiceName(service));
-    const auto route = gate ? gate->finished(attempt, end) : std::nullopt;
+    const auto route = gate ? gate->finished(attempt, status) : std::nullopt;
     // Attempts that were refused or failed may not have made all their calls.
-    if (route && end == CompletionStatus::Served)
+    if (route && status == CompletionStatus::Served)
         m_state->board.routeCalls().visit(*route, [](RouteCallsRecord& record) { record.requests += 1; });
 }
 
--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -72,9 +72,9 @@
     return std::max(1U, static_cast<uint32_t>(m_limit * share));
 }
 
-void ConcurrencyLimit::recordCompletion(CompletionStatus end, Duration serviceTime, uint32_t running)
+void ConcurrencyLimit::recordCompletion(CompletionStatus status, Duration serviceTime, uint32_t running)
 {
-    if (end == CompletionStatus::Overloaded) {
+    if (status == CompletionStatus::Overloaded) {
         if (!m_window.rejections || running < m_window.leastRunningAtRejection)
             m_window.leastRunningAtRejection = running;
         ++m_window.rejections;
--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -204,7 +204,7 @@
     m_queue.erase(waiting);
 }
 
-std::optional<RouteName> Gate::finished(const AttemptId& attempt, CompletionStatus end)
+std::optional<RouteName> Gate::finished(const AttemptId& attempt, CompletionStatus status)
 {
     std::lock_guard guard(m_lock);
     const auto found = m_tickets.find(attempt);
@@ -212,10 +212,10 @@
         return std::nullopt;
     const auto now = m_clock.now();
     const auto serviceTime = now - found->second.since;
-    m_limit.recordCompletion(end, serviceTime, m_running);
-    if (end != CompletionStatus::Overloaded)
+    m_limit.recordCompletion(status, serviceTime, m_running);
+    if (status != CompletionStatus::Overloaded)
         ++m_completions;
-    if (end == CompletionStatus::Served) {
+    if (status == CompletionStatus::Served) {
         m_serviceTimes.record(found->second.route, serviceTime, now);
         recordServiceTime(inSeconds(serviceTime));
     }
