--- a/tests/AdmissionGuard.h
+++ b/tests/AdmissionGuard.h
@@ -1,13 +1,15 @@
-// A guard without a network, for tests of what it admits.
+// Admission control without a network, for tests of its decisions.
 #pragma once
 
 #include "admission/Admission.h"
 
 namespace Vanillaridge {
 
+/// Time from the offer of a request to its deadline.
 constexpr Duration patience = seconds(5);
 
-// One node with one backend server, whose requests the test starts and ends.
+/// The admission control of a node with one local backend server, on a manual clock. The test offers the requests and
+/// completes them.
 struct Guard {
     explicit Guard(uint32_t slots = 4, AdmissionStrategy strategy = AdmissionStrategy::Adaptive,
         OverloadPolicy policy = OverloadPolicy::FairnessFirst)
@@ -41,6 +43,7 @@
         return context;
     }
 
+    /// Offers a request with the default timeout and records it as running if it is admitted.
     AdmissionVerdict offer(const RequestContext& context)
     {
         const auto decision = admission.offer(context, clock.now() + patience);
@@ -49,6 +52,7 @@
         return decision.verdict;
     }
 
+    /// Decides on waiting requests and records the admitted ones as running.
     std::vector<AdmissionChange> settle()
     {
         auto changes = admission.processQueues();
@@ -59,6 +63,7 @@
         return changes;
     }
 
+    /// Completes the request that has been running longest, if any.
     void finishOne()
     {
         if (running.empty())
--- a/tests/AdmissionTests.cpp
+++ b/tests/AdmissionTests.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// What the test does next, drawn at random.
+// A random action of the test, and the time that passes before it.
 struct Step {
     uint32_t kind;
     Importance importance;
@@ -30,7 +30,8 @@
     return reason == Reason::ShedAtGuard || reason == Reason::QueueFull || reason == Reason::QueueTimeout;
 }
 
-// Offers, ends and ticks in the order of the steps; checks the order of importance and that each offer ends once.
+// Offers and completes requests and advances the clock as the steps say. Checks that no request is admitted or shed
+// out of order of importance, and that each waiting request is decided exactly once.
 class Play {
 public:
     explicit Play(Guard& guard)
@@ -86,7 +87,7 @@
             check(importance, decision);
     }
 
-    // Nobody less important may wait when a request has just been refused for load.
+    // No less important request may wait when a request has just been shed.
     void check(Importance importance, const AdmissionDecision& decision) const
     {
         if (decision.verdict != AdmissionVerdict::Refused || !isForLoad(decision.reason))
@@ -99,8 +100,8 @@
     std::map<AttemptId, Importance> m_waiting;
 };
 
-// Sends each account's requests at an even pace and counts what starts once the shed level has settled. Long enough for
-// the spread of the stable hash to average out.
+// Sends each account's requests at a constant rate and returns the admitted requests per second of each account, after
+// a warm-up in which the shed level converges. The run is long enough for the spread of the stable hash to average out.
 std::vector<double> servedRates(Guard& guard, std::span<const double> rates, Duration serviceTime)
 {
     constexpr int steps = 17000;
@@ -135,7 +136,7 @@
     return served;
 }
 
-// Divides a capacity max-min.
+// The max-min fair share of the capacity for each of these rates.
 std::vector<double> fairRates(std::span<const double> rates, double capacity)
 {
     std::vector<double> sorted(rates.begin(), rates.end());
@@ -159,7 +160,7 @@
 
 BOOST_AUTO_TEST_SUITE(GivenCallsWhoseRequestsAreNotKnown)
 
-// Who starts next of the two that wait.
+// Queues both requests behind a running one and returns which of them starts first.
 AttemptId firstOf(Guard& guard, const RequestContext& one, const RequestContext& other)
 {
     guard.offer(guard.request(Importance::Normal));
@@ -193,7 +194,7 @@
 
 BOOST_AUTO_TEST_CASE(ThenNewWorkIsShedForThemAndTheyAreNot)
 {
-    // Twice as many calls and new requests as the backend server can take, for two seconds.
+    // Calls and new requests arrive at twice the rate that the backend server can serve, for two seconds.
     Guard guard(4);
     size_t callsRefused = 0;
     size_t newRefused = 0;
@@ -334,7 +335,8 @@
 
 BOOST_AUTO_TEST_SUITE(WhenAServiceFurtherDownIsOverloaded)
 
-// A guard whose requests go on to call a service that sheds what is below high importance, and half of that.
+// A guard whose requests call a downstream service that sheds everything below high importance and half of high
+// importance.
 struct Upstream : Guard {
     Upstream()
         : Guard(1000)
--- a/tests/DeepServiceTests.cpp
+++ b/tests/DeepServiceTests.cpp
@@ -14,7 +14,7 @@
 constexpr Duration work = milliseconds(50);
 constexpr Duration patienceOfCallers = milliseconds(700);
 
-// Work that comes to a deep service at an even pace: requests of callers, or calls of requests that run elsewhere.
+// Requests to a deep service at a constant rate: new requests of clients, or calls made by requests that run elsewhere.
 struct Flow {
     Rank rank;
     uint32_t depth { 1 };
@@ -27,8 +27,8 @@
     double share() const { return sent ? double(served) / sent : 1; }
 };
 
-// A backend server at the end of a chain, which serves 2,000 requests a second. What is told upstream is not followed
-// there: only what the guard itself decides is looked at.
+// A backend server at the end of a call chain that serves 2,000 requests per second. Upstream nodes ignore its
+// feedback, so that the tests see the decisions of this guard alone.
 struct DeepServer : Guard {
     DeepServer()
         : Guard(100)
--- a/tests/LaggingNodeTests.cpp
+++ b/tests/LaggingNodeTests.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr double processorRate = 1000; // requests per second that the node has processor time for
+constexpr double processorRate = 1000; // requests per second that the node's processor can handle
 constexpr Duration step = milliseconds(1);
 constexpr Duration work = milliseconds(50);
 constexpr Duration lagPeriod = milliseconds(50);
-// A request of the deployments served passes nodes some twenty times, and may lose a quarter of its 1.5 s there.
+// A request passes nodes about 20 times in the deployments served, and may lose a quarter of its 1.5 s to their lag.
 constexpr Duration bearableLag = microseconds(18750);
 
-// A backend server with slots to spare, beside a node whose processor is what is short.
+// A backend server with free slots, local to a node whose processor is the bottleneck.
 class LaggingNode : public Guard {
 public:
     LaggingNode()
@@ -24,10 +24,10 @@
     {
     }
 
-    // Requests that came in for each class, in the order of Importance, and those that were served.
+    // A value for each class, in the order of Importance.
     using ByClass = std::array<double, importanceCount>;
 
-    // Lets requests come at these rates for so long; those shed where they enter never reach the node.
+    // Sends requests at these rates for the given time. Requests shed at the entry never reach the node.
     void play(const ByClass& rates, Duration span)
     {
         sent = served = {};
@@ -61,6 +61,7 @@
 
     Duration meanLag() const { return m_lagSum / std::max(1, m_lagSamples); }
 
+    // Requests sent and served in the last run.
     ByClass sent {};
     ByClass served {};
 
--- a/tests/MixedWorkTests.cpp
+++ b/tests/MixedWorkTests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A backend server that does work of different length.
+// A backend server whose routes have different service times.
 struct MixedServer : Guard {
     explicit MixedServer(uint32_t slots = 100)
         : Guard(slots)
@@ -27,7 +27,7 @@
         return admission.offer(context, clock.now() + left);
     }
 
-    // Serves requests of a route one after the other.
+    // Serves requests of a route one at a time.
     void serve(std::string_view route, int count, Duration time)
     {
         for (int i = 0; i < count; ++i) {
@@ -40,7 +40,7 @@
     }
 };
 
-// Requests of one route, sent at an even pace.
+// Requests of one route at a constant rate.
 struct Flow {
     std::string_view route;
     double rate; // requests per second
@@ -50,7 +50,7 @@
     int served { 0 };
 };
 
-// Sends all flows for so long, and counts what is served within its patience.
+// Sends all flows for the given time and counts the requests served before their deadline.
 void play(MixedServer& server, std::span<Flow> flows, Duration span)
 {
     constexpr Duration step = milliseconds(1);
@@ -144,7 +144,7 @@
     const auto waits = server.requestOf("status");
     BOOST_TEST((server.offerWithin(waits, milliseconds(500)).verdict == AdmissionVerdict::Waiting));
 
-    // Its time runs out while it waits.
+    // Its deadline comes too close while it waits.
     server.clock.advance(milliseconds(490));
     const auto changes = server.settle();
     BOOST_REQUIRE(changes.size() == 1u);
--- a/tests/RejectingServerTests.cpp
+++ b/tests/RejectingServerTests.cpp
@@ -13,15 +13,15 @@
 constexpr uint32_t slots = 196;
 constexpr Duration step = milliseconds(1);
 constexpr Duration work = milliseconds(38);
-// A backend server that does not take a request says so within this.
+// Time in which a backend server rejects a request.
 constexpr Duration rejectionTime = milliseconds(2);
-// Calls per second that the slots allow for.
+// Requests per second at which all slots are busy.
 constexpr double capacity = 1e9 * slots / double(work.count());
 
-// A node beside a backend server that rejects some of what it is sent, as the test says.
+// A node with a local backend server that rejects requests by a rule of the test.
 class RejectingServer : public Guard {
 public:
-    // Whether a request is rejected, by how many run.
+    // Whether a request is rejected, given the number of running requests.
     using Rejects = std::function<bool(size_t atWork)>;
 
     RejectingServer()
@@ -29,7 +29,7 @@
     {
     }
 
-    // Calls come at this rate for so long, and are served or rejected.
+    // Sends requests at this rate for the given time.
     void play(double rate, Duration span, const Rejects& rejects)
     {
         m_limits.clear();
@@ -46,7 +46,7 @@
         }
     }
 
-    // The limit that it had at least for all but a tenth of the time.
+    // The 10th percentile of the concurrency limit over the last run.
     uint32_t usualLimit()
     {
         auto tenth = m_limits.begin() + ptrdiff_t(m_limits.size() / 10);
@@ -85,12 +85,12 @@
 };
 
 struct Fixture {
-    // Rejects this share of the requests, however many run.
+    // Rejects this share of the requests, independent of the number of running requests.
     RejectingServer::Rejects share(double rejected)
     {
         return [this, rejected](size_t) { return random->unit() < rejected; };
     }
-    // Rejects what comes while this many run.
+    // Rejects requests while this many or more are running.
     static RejectingServer::Rejects beyond(size_t room)
     {
         return [room](size_t atWork) { return atWork >= room; };
