--- a/tests/AdmissionGuard.h
+++ b/tests/AdmissionGuard.h
@@ -6,7 +6,7 @@
 namespace Vanillaridge {
 
 /// Time from the offer of a request to its deadline.
-constexpr Duration patience = seconds(5);
+constexpr Duration requestTimeout = seconds(5);
 
 /// The admission control of a node with one local backend server, on a manual clock. The test offers the requests and
 /// completes them.
@@ -46,7 +46,7 @@
     /// Offers a request with the default timeout and records it as running if it is admitted.
     AdmissionVerdict offer(const RequestContext& context)
     {
-        const auto decision = admission.offer(context, clock.now() + patience);
+        const auto decision = admission.offer(context, clock.now() + requestTimeout);
         if (decision.verdict == AdmissionVerdict::Admitted)
             running.push_back(context.attempt);
         return decision.verdict;
--- a/tests/AdmissionTests.cpp
+++ b/tests/AdmissionTests.cpp
@@ -12,7 +12,7 @@
 
 // A random action of the test, and the time that passes before it.
 struct Step {
-    uint32_t kind;
+    uint32_t action;
     Importance importance;
     uint32_t account;
     uint32_t milliseconds;
@@ -25,16 +25,16 @@
         rc::gen::inRange(0U, 4U), rc::gen::inRange(0U, 30U)));
 }
 
-bool isForLoad(Reason reason)
+bool isShed(Reason reason)
 {
     return reason == Reason::ShedAtGuard || reason == Reason::QueueFull || reason == Reason::QueueTimeout;
 }
 
 // Offers and completes requests and advances the clock as the steps say. Checks that no request is admitted or shed
 // out of order of importance, and that each waiting request is decided exactly once.
-class Play {
+class OfferSimulation {
 public:
-    explicit Play(Guard& guard)
+    explicit OfferSimulation(Guard& guard)
         : m_guard(guard)
     {
     }
@@ -43,9 +43,9 @@
     {
         for (const auto& step : steps) {
             m_guard.clock.advance(milliseconds(step.milliseconds));
-            if (step.kind < 2)
+            if (step.action < 2)
                 m_guard.finishOne();
-            if (step.kind < 3)
+            if (step.action < 3)
                 settle();
             else
                 offer(m_guard.request(step.importance, "account-" + std::to_string(step.account)));
@@ -61,7 +61,7 @@
 private:
     void offer(const RequestContext& context)
     {
-        const auto decision = m_guard.admission.offer(context, m_guard.clock.now() + patience);
+        const auto decision = m_guard.admission.offer(context, m_guard.clock.now() + requestTimeout);
         if (decision.verdict == AdmissionVerdict::Admitted) {
             m_guard.running.push_back(context.attempt);
             for (const auto& [attempt, importance] : m_waiting)
@@ -70,27 +70,27 @@
             m_waiting[context.attempt] = context.rank.account;
         }
         settle();
-        check(context.rank.account, decision);
+        checkNoneLessImportantWaits(context.rank.account, decision);
     }
 
     void settle()
     {
         const auto changes = m_guard.settle();
-        std::vector<std::pair<Importance, AdmissionDecision>> ended;
+        std::vector<std::pair<Importance, AdmissionDecision>> decided;
         for (const auto& change : changes) {
             const auto found = m_waiting.find(change.attempt);
             RC_ASSERT(found != m_waiting.end());
-            ended.emplace_back(found->second, change.decision);
+            decided.emplace_back(found->second, change.decision);
             m_waiting.erase(found);
         }
-        for (const auto& [importance, decision] : ended)
-            check(importance, decision);
+        for (const auto& [importance, decision] : decided)
+            checkNoneLessImportantWaits(importance, decision);
     }
 
     // No less important request may wait when a request has just been shed.
-    void check(Importance importance, const AdmissionDecision& decision) const
+    void checkNoneLessImportantWaits(Importance importance, const AdmissionDecision& decision) const
     {
-        if (decision.verdict != AdmissionVerdict::Refused || !isForLoad(decision.reason))
+        if (decision.verdict != AdmissionVerdict::Refused || !isShed(decision.reason))
             return;
         for (const auto& [attempt, other] : m_waiting)
             RC_ASSERT(other <= importance);
@@ -104,48 +104,48 @@
 // a warm-up in which the shed level converges. The run is long enough for the spread of the stable hash to average out.
 std::vector<double> servedRates(Guard& guard, std::span<const double> rates, Duration serviceTime)
 {
-    constexpr int steps = 17000;
-    constexpr int settled = 2000;
+    constexpr int stepCount = 17000;
+    constexpr int warmUpSteps = 2000;
     constexpr Duration step = milliseconds(1);
     std::vector<double> due(rates.size());
     std::vector<double> served(rates.size());
-    std::map<AttemptId, size_t> owner;
-    std::map<Instant, std::vector<AttemptId>> ends;
-    for (int i = 0; i < steps; ++i) {
+    std::map<AttemptId, size_t> accountOf;
+    std::map<Instant, std::vector<AttemptId>> completions;
+    for (int i = 0; i < stepCount; ++i) {
         guard.clock.advance(step);
-        while (!ends.empty() && ends.begin()->first <= guard.clock.now()) {
-            for (const auto& attempt : ends.begin()->second)
+        while (!completions.empty() && completions.begin()->first <= guard.clock.now()) {
+            for (const auto& attempt : completions.begin()->second)
                 guard.admission.finished("history", attempt, CompletionStatus::Served);
-            ends.erase(ends.begin());
+            completions.erase(completions.begin());
         }
         for (size_t account = 0; account < rates.size(); ++account) {
             for (due[account] += rates[account] / 1000; due[account] >= 1; due[account] -= 1) {
                 const auto context = guard.request(Importance::Normal, "account-" + std::to_string(account));
-                owner[context.attempt] = account;
+                accountOf[context.attempt] = account;
                 guard.offer(context);
             }
         }
         guard.settle();
         for (const auto& attempt : std::exchange(guard.running, {})) {
-            ends[guard.clock.now() + serviceTime].push_back(attempt);
-            served[owner[attempt]] += i >= settled;
+            completions[guard.clock.now() + serviceTime].push_back(attempt);
+            served[accountOf[attempt]] += i >= warmUpSteps;
         }
     }
     for (auto& rate : served)
-        rate *= 1000.0 / (steps - settled);
+        rate *= 1000.0 / (stepCount - warmUpSteps);
     return served;
 }
 
 // The max-min fair share of the capacity for each of these rates.
-std::vector<double> fairRates(std::span<const double> rates, double capacity)
+std::vector<double> maxMinFairRates(std::span<const double> rates, double capacity)
 {
     std::vector<double> sorted(rates.begin(), rates.end());
     std::sort(sorted.begin(), sorted.end());
     double level = sorted.back();
     for (size_t i = 0; i < sorted.size(); ++i) {
-        const double even = capacity / double(sorted.size() - i);
-        if (sorted[i] > even) {
-            level = even;
+        const double evenShare = capacity / double(sorted.size() - i);
+        if (sorted[i] > evenShare) {
+            level = evenShare;
             break;
         }
         capacity -= sorted[i];
@@ -158,10 +158,10 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(GivenCallsWhoseRequestsAreNotKnown)
+BOOST_AUTO_TEST_SUITE(GivenCallsWhoseParentRequestsAreNotKnown)
 
 // Queues both requests behind a running one and returns which of them starts first.
-AttemptId firstOf(Guard& guard, const RequestContext& one, const RequestContext& other)
+AttemptId startedFirst(Guard& guard, const RequestContext& one, const RequestContext& other)
 {
     guard.offer(guard.request(Importance::Normal));
     BOOST_TEST((guard.offer(one) == AdmissionVerdict::Waiting));
@@ -179,7 +179,7 @@
     auto call = guard.request(Importance::High, "");
     call.parentKnown = false;
     call.depth = 2;
-    BOOST_TEST((firstOf(guard, guard.request(Importance::High), call) == call.attempt));
+    BOOST_TEST((startedFirst(guard, guard.request(Importance::High), call) == call.attempt));
 }
 
 BOOST_AUTO_TEST_CASE(ThenMoreImportantNewWorkGoesBeforeThem)
@@ -189,7 +189,7 @@
     call.parentKnown = false;
     call.depth = 2;
     const auto important = guard.request(Importance::Critical);
-    BOOST_TEST((firstOf(guard, call, important) == important.attempt));
+    BOOST_TEST((startedFirst(guard, call, important) == important.attempt));
 }
 
 BOOST_AUTO_TEST_CASE(ThenNewWorkIsShedForThemAndTheyAreNot)
@@ -233,21 +233,22 @@
     Guard guard;
     const auto context = guard.request(Importance::Normal);
     guard.offer(context);
-    BOOST_TEST((guard.admission.offer(context, guard.clock.now() + patience).reason == Reason::Duplicate));
+    BOOST_TEST((guard.admission.offer(context, guard.clock.now() + requestTimeout).reason == Reason::Duplicate));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenTheBackendServerIsLeaving)
+BOOST_AUTO_TEST_SUITE(WhenTheBackendServerIsDraining)
 
 BOOST_AUTO_TEST_CASE(ThenNothingNewIsAdmitted)
 {
     Guard guard;
     guard.announce(4, true);
-    const auto decision = guard.admission.offer(guard.request(Importance::Critical), guard.clock.now() + patience);
+    const auto decision
+        = guard.admission.offer(guard.request(Importance::Critical), guard.clock.now() + requestTimeout);
     BOOST_TEST((decision.reason == Reason::Draining));
     guard.board.localServers().erase("history");
-    const auto later = guard.admission.offer(guard.request(Importance::Critical), guard.clock.now() + patience);
+    const auto later = guard.admission.offer(guard.request(Importance::Critical), guard.clock.now() + requestTimeout);
     BOOST_TEST((later.reason == Reason::NoServer));
 }
 
@@ -273,15 +274,15 @@
 {
     Guard guard(1);
     guard.offer(guard.request(Importance::Normal));
-    const auto hasty = guard.request(Importance::Critical);
-    guard.admission.offer(hasty, guard.clock.now() + milliseconds(20));
+    const auto urgent = guard.request(Importance::Critical);
+    guard.admission.offer(urgent, guard.clock.now() + milliseconds(20));
     guard.clock.advance(milliseconds(30));
     const auto changes = guard.settle();
     BOOST_REQUIRE(changes.size() == 1u);
     BOOST_TEST((changes[0].decision.reason == Reason::DeadlineExceeded));
 }
 
-BOOST_AUTO_TEST_CASE(ThenOneThatLeftIsNotReported)
+BOOST_AUTO_TEST_CASE(ThenAnAbandonedOneIsNotReported)
 {
     Guard guard(1);
     guard.offer(guard.request(Importance::Normal));
@@ -297,11 +298,11 @@
 
 BOOST_AUTO_TEST_SUITE(WhenOffersComeInAnyOrder)
 
-BOOST_AUTO_TEST_CASE(ThenImportanceGoesFirstAndEachOfferEndsOnce)
+BOOST_AUTO_TEST_CASE(ThenImportanceGoesFirstAndEachOfferIsDecidedOnce)
 {
     BOOST_TEST(rc::check("importance order and no lost tickets", [] {
         Guard guard(*rc::gen::inRange(1U, 4U));
-        Play(guard).run(*rc::gen::resize(400, steps()));
+        OfferSimulation(guard).run(*rc::gen::resize(400, steps()));
     }));
 }
 
@@ -318,7 +319,7 @@
             rates.push_back(*rc::gen::inRange(100, 600));
         Guard guard(10);
         const auto served = servedRates(guard, rates, milliseconds(20));
-        const auto fair = fairRates(rates, capacity);
+        const auto fair = maxMinFairRates(rates, capacity);
         for (size_t i = 0; i < rates.size(); ++i)
             RC_ASSERT(served[i] >= 0.9 * fair[i]);
     }));
@@ -333,29 +334,29 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenAServiceFurtherDownIsOverloaded)
+BOOST_AUTO_TEST_SUITE(WhenADownstreamServiceIsOverloaded)
 
 // A guard whose requests call a downstream service that sheds everything below high importance and half of high
 // importance.
-struct Upstream : Guard {
-    Upstream()
+struct UpstreamGuard : Guard {
+    UpstreamGuard()
         : Guard(1000)
     {
         board.routeCalls().update("look-up", [](RouteCallsRecord& record) {
             record.requests = 100;
             record.calls["registry"] = 100;
         });
-        tell(rankCount - 0.5 - double(indexOf(Rank::of(Importance::High))));
+        publishShedLevel(rankCount - 0.5 - double(indexOf(Rank::of(Importance::High))));
     }
 
-    void tell(double level)
+    void publishShedLevel(double level)
     {
         board.shedRecords().update({ "registry", "" }, [&](ShedRecord& record) {
             record = { level, clock.now(), 0, 0 };
         });
     }
 
-    int admittedOf(int requests, Importance importance)
+    int admittedCount(int requests, Importance importance)
     {
         int admitted = 0;
         for (int i = 0; i < requests; ++i)
@@ -366,24 +367,24 @@
 
 BOOST_AUTO_TEST_CASE(ThenNoWorkIsStartedThatWouldFailThere)
 {
-    Upstream guard;
-    BOOST_TEST(guard.admittedOf(100, Importance::Critical) == 100);
-    BOOST_TEST(std::abs(guard.admittedOf(200, Importance::High) - 100) < 25);
-    BOOST_TEST(guard.admittedOf(200, Importance::Normal) < 10);
-    BOOST_TEST(guard.admittedOf(200, Importance::Low) < 10);
+    UpstreamGuard guard;
+    BOOST_TEST(guard.admittedCount(100, Importance::Critical) == 100);
+    BOOST_TEST(std::abs(guard.admittedCount(200, Importance::High) - 100) < 25);
+    BOOST_TEST(guard.admittedCount(200, Importance::Normal) < 10);
+    BOOST_TEST(guard.admittedCount(200, Importance::Low) < 10);
 }
 
-BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreServedOn)
+BOOST_AUTO_TEST_CASE(ThenCallsOfRunningRequestsAreStillAdmitted)
 {
-    Upstream guard;
+    UpstreamGuard guard;
     auto call = guard.request(Importance::Normal);
     call.parentKnown = false;
     BOOST_TEST((guard.offer(call) == AdmissionVerdict::Admitted));
 }
 
-BOOST_AUTO_TEST_CASE(ThenWhatPassesStandsForWhatDoesNot)
+BOOST_AUTO_TEST_CASE(ThenAdmittedRequestsRepresentTheShedOnes)
 {
-    Upstream guard;
+    UpstreamGuard guard;
     double represented = 0;
     for (int i = 0; i < 200; ++i) {
         const auto context = guard.request(Importance::High);
@@ -395,18 +396,18 @@
     BOOST_TEST(std::abs(represented - 200) < 50);
 }
 
-BOOST_AUTO_TEST_CASE(ThenItIsTakenAgainOnceTheOthersTellNoMore)
+BOOST_AUTO_TEST_CASE(ThenWorkIsAdmittedAgainOnceTheShedRecordIsOutdated)
 {
-    Upstream guard;
+    UpstreamGuard guard;
     guard.clock.advance(seconds(2));
-    BOOST_TEST(guard.admittedOf(100, Importance::Normal) == 100);
+    BOOST_TEST(guard.admittedCount(100, Importance::Normal) == 100);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(WhenTheBackendServerShedsItself)
 
-BOOST_AUTO_TEST_CASE(ThenItsLimitFallsAndComesBack)
+BOOST_AUTO_TEST_CASE(ThenItsLimitFallsAndRecovers)
 {
     Guard guard(100);
     for (int i = 0; i < 60; ++i)
--- a/tests/DeepServiceTests.cpp
+++ b/tests/DeepServiceTests.cpp
@@ -11,8 +11,8 @@
 constexpr Rank highestRank = Rank::of(Importance::Critical);
 constexpr Rank middleRank { Importance::High, Importance::High };
 constexpr Rank lowRank { Importance::High, Importance::Normal };
-constexpr Duration work = milliseconds(50);
-constexpr Duration patienceOfCallers = milliseconds(700);
+constexpr Duration serviceTime = milliseconds(50);
+constexpr Duration callerTimeout = milliseconds(700);
 
 // Requests to a deep service at a constant rate: new requests of clients, or calls made by requests that run elsewhere.
 struct Flow {
@@ -24,7 +24,7 @@
     uint32_t accounts { 1 };
     int sent { 0 };
     int served { 0 };
-    double share() const { return sent ? double(served) / sent : 1; }
+    double servedShare() const { return sent ? double(served) / sent : 1; }
 };
 
 // A backend server at the end of a call chain that serves 2,000 requests per second. Upstream nodes ignore its
@@ -35,17 +35,17 @@
     {
     }
 
-    void play(std::span<Flow> flows, Duration span)
+    void simulate(std::span<Flow> flows, Duration span)
     {
         for (const auto end = clock.now() + span; clock.now() < end; clock.advance(milliseconds(1))) {
-            finishWork(flows);
+            completeDueRequests(flows);
             for (size_t i = 0; i < flows.size(); ++i) {
                 for (flows[i].due += flows[i].rate / 1000; flows[i].due >= 1; flows[i].due -= 1)
                     send(flows[i], i);
             }
             for (const auto& change : admission.processQueues()) {
                 if (change.decision.verdict == AdmissionVerdict::Admitted)
-                    m_ends.emplace(clock.now() + work, change.attempt);
+                    m_completions.emplace(clock.now() + serviceTime, change.attempt);
             }
         }
     }
@@ -60,22 +60,22 @@
         context.account = flow.depth > 1 ? "" : "owner-" + std::to_string(sequence % flow.accounts);
         ++flow.sent;
         m_flowOf[context.attempt] = index;
-        const auto verdict = admission.offer(context, clock.now() + patienceOfCallers).verdict;
+        const auto verdict = admission.offer(context, clock.now() + callerTimeout).verdict;
         if (verdict == AdmissionVerdict::Admitted)
-            m_ends.emplace(clock.now() + work, context.attempt);
+            m_completions.emplace(clock.now() + serviceTime, context.attempt);
     }
 
-    void finishWork(std::span<Flow> flows)
+    void completeDueRequests(std::span<Flow> flows)
     {
-        while (!m_ends.empty() && m_ends.begin()->first <= clock.now()) {
-            const auto attempt = m_ends.begin()->second;
-            m_ends.erase(m_ends.begin());
+        while (!m_completions.empty() && m_completions.begin()->first <= clock.now()) {
+            const auto attempt = m_completions.begin()->second;
+            m_completions.erase(m_completions.begin());
             admission.finished("history", attempt, CompletionStatus::Served);
             ++flows[m_flowOf.at(attempt)].served;
         }
     }
 
-    std::multimap<Instant, AttemptId> m_ends;
+    std::multimap<Instant, AttemptId> m_completions;
     std::map<AttemptId, size_t> m_flowOf;
 };
 
@@ -85,19 +85,19 @@
 
 BOOST_AUTO_TEST_SUITE(WhenMostOfItIsCallsOfLessImportantRequests)
 
-BOOST_AUTO_TEST_CASE(ThenItsOwnNewRequestsAreNotWhatIsLeftOver)
+BOOST_AUTO_TEST_CASE(ThenItsOwnNewRequestsAreNotStarved)
 {
     std::vector<Flow> flows { { middleRank, 1, 200 }, { lowRank, 3, 2400 } };
-    play(flows, seconds(5));
-    BOOST_TEST(flows[0].share() >= 0.97);
+    simulate(flows, seconds(5));
+    BOOST_TEST(flows[0].servedShare() >= 0.97);
     BOOST_TEST(flows[0].served + flows[1].served >= 0.95 * 2000 * 5);
 }
 
-BOOST_AUTO_TEST_CASE(ThenSoItIsWhereTheCallsAreNotTraced)
+BOOST_AUTO_TEST_CASE(ThenItsOwnNewRequestsAreNotStarvedByUntracedCalls)
 {
     std::vector<Flow> flows { { middleRank, 1, 200 }, { lowRank, 3, 2400, false } };
-    play(flows, seconds(5));
-    BOOST_TEST(flows[0].share() >= 0.97);
+    simulate(flows, seconds(5));
+    BOOST_TEST(flows[0].servedShare() >= 0.97);
     BOOST_TEST(flows[0].served + flows[1].served >= 0.95 * 2000 * 5);
 }
 
@@ -108,28 +108,28 @@
 BOOST_AUTO_TEST_CASE(ThenTheyGoFirst)
 {
     std::vector<Flow> flows { { lowRank, 1, 400 }, { middleRank, 3, 1900 } };
-    play(flows, seconds(5));
-    BOOST_TEST(flows[1].share() >= 0.97);
+    simulate(flows, seconds(5));
+    BOOST_TEST(flows[1].servedShare() >= 0.97);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(WhenNewRequestsAndCallsAreOfOneRank)
 
-BOOST_AUTO_TEST_CASE(ThenWhatHasBeenDoneForTheCallsIsNotLost)
+BOOST_AUTO_TEST_CASE(ThenCallsArePreferredSoThatWorkDoneForThemIsNotLost)
 {
     std::vector<Flow> flows { { middleRank, 1, 1200 }, { middleRank, 3, 1500 } };
-    play(flows, seconds(5));
-    BOOST_TEST(flows[1].share() >= flows[0].share() + 0.2);
+    simulate(flows, seconds(5));
+    BOOST_TEST(flows[1].servedShare() >= flows[0].servedShare() + 0.2);
     BOOST_TEST(flows[0].served + flows[1].served >= 0.95 * 2000 * 5);
 }
 
-BOOST_AUTO_TEST_CASE(ThenCallsAreNotTakenForOneLargeAccount)
+BOOST_AUTO_TEST_CASE(ThenCallsAreNotTreatedAsOneLargeAccount)
 {
     std::vector<Flow> flows { { middleRank, 1, 600 }, { middleRank, 3, 2200 } };
     flows[0].accounts = 60;
-    play(flows, seconds(5));
-    BOOST_TEST(flows[1].share() >= flows[0].share());
+    simulate(flows, seconds(5));
+    BOOST_TEST(flows[1].servedShare() >= flows[0].servedShare());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -139,7 +139,7 @@
 BOOST_AUTO_TEST_CASE(ThenAsManyAreServedAsFit)
 {
     std::vector<Flow> flows { { highestRank, 1, 3000 } };
-    play(flows, seconds(5));
+    simulate(flows, seconds(5));
     BOOST_TEST(flows[0].served >= 0.95 * 2000 * 5);
 }
 
--- a/tests/MixedWorkTests.cpp
+++ b/tests/MixedWorkTests.cpp
@@ -22,18 +22,18 @@
         return context;
     }
 
-    AdmissionDecision offerWithin(const RequestContext& context, Duration left)
+    AdmissionDecision offerWithin(const RequestContext& context, Duration timeLeft)
     {
-        return admission.offer(context, clock.now() + left);
+        return admission.offer(context, clock.now() + timeLeft);
     }
 
     // Serves requests of a route one at a time.
-    void serve(std::string_view route, int count, Duration time)
+    void serve(std::string_view route, int count, Duration serviceTime)
     {
         for (int i = 0; i < count; ++i) {
             const auto context = requestOf(route);
             offer(context);
-            clock.advance(time);
+            clock.advance(serviceTime);
             admission.finished("history", context.attempt, CompletionStatus::Served);
             settle();
         }
@@ -44,14 +44,14 @@
 struct Flow {
     std::string_view route;
     double rate; // requests per second
-    Duration time; // at the backend server
-    Duration patience;
+    Duration serviceTime; // at the backend server
+    Duration timeout;
     int sent { 0 };
     int served { 0 };
 };
 
 // Sends all flows for the given time and counts the requests served before their deadline.
-void play(MixedServer& server, std::span<Flow> flows, Duration span)
+void simulate(MixedServer& server, std::span<Flow> flows, Duration span)
 {
     constexpr Duration step = milliseconds(1);
     struct Running {
@@ -59,22 +59,23 @@
         Flow* flow;
         Instant deadline;
     };
-    std::multimap<Instant, Running> ends;
+    std::multimap<Instant, Running> completions;
     std::map<AttemptId, Running> waiting;
-    const auto start = [&](const Running& running) { ends.emplace(server.clock.now() + running.flow->time, running); };
+    const auto start
+        = [&](const Running& running) { completions.emplace(server.clock.now() + running.flow->serviceTime, running); };
     std::vector<double> due(flows.size());
     for (const auto end = server.clock.now() + span; server.clock.now() < end; server.clock.advance(step)) {
-        while (!ends.empty() && ends.begin()->first <= server.clock.now()) {
-            const auto [at, running] = *ends.begin();
-            ends.erase(ends.begin());
+        while (!completions.empty() && completions.begin()->first <= server.clock.now()) {
+            const auto [completedAt, running] = *completions.begin();
+            completions.erase(completions.begin());
             server.admission.finished("history", running.attempt, CompletionStatus::Served);
-            running.flow->served += at <= running.deadline;
+            running.flow->served += completedAt <= running.deadline;
         }
         for (size_t i = 0; i < flows.size(); ++i) {
             for (due[i] += flows[i].rate / 1000; due[i] >= 1; due[i] -= 1) {
                 const auto context = server.requestOf(flows[i].route);
-                const Running running { context.attempt, &flows[i], server.clock.now() + flows[i].patience };
-                const auto verdict = server.offerWithin(context, flows[i].patience).verdict;
+                const Running running { context.attempt, &flows[i], server.clock.now() + flows[i].timeout };
+                const auto verdict = server.offerWithin(context, flows[i].timeout).verdict;
                 ++flows[i].sent;
                 if (verdict == AdmissionVerdict::Admitted)
                     start(running);
@@ -123,7 +124,7 @@
     BOOST_TEST((server.offerWithin(server.requestOf("sign"), seconds(2)).verdict == AdmissionVerdict::Admitted));
 }
 
-BOOST_AUTO_TEST_CASE(ThenOneWhoseTimeHasPassedIsRefused)
+BOOST_AUTO_TEST_CASE(ThenOneWhoseDeadlineHasPassedIsRefused)
 {
     MixedServer server;
     const auto decision = server.offerWithin(server.requestOf("status"), Duration(0));
@@ -156,7 +157,7 @@
 
 BOOST_AUTO_TEST_SUITE(WhenARouteWasSlowForAWhile)
 
-BOOST_AUTO_TEST_CASE(ThenItIsTriedAgainAndNotRefusedForWhatItOnceTook)
+BOOST_AUTO_TEST_CASE(ThenItIsTriedAgainDespiteItsEarlierServiceTime)
 {
     MixedServer server(1);
     server.serve("status", 100, seconds(1));
@@ -170,14 +171,14 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenAllThatComesFits)
+BOOST_AUTO_TEST_SUITE(WhenAllRequestsFit)
 
 BOOST_AUTO_TEST_CASE(ThenShortRequestsWithLittleTimeAreServedBesideLongOnes)
 {
     MixedServer server;
     std::vector<Flow> flows { { "sign", 60, seconds(1), seconds(5) },
         { "status", 200, milliseconds(20), milliseconds(300) } };
-    play(server, flows, seconds(20));
+    simulate(server, flows, seconds(20));
     BOOST_TEST(flows[1].served >= flows[1].sent - 10);
     BOOST_TEST(flows[0].served >= flows[0].sent - 70);
 }
