--- a/tests/DrainTests.cpp
+++ b/tests/DrainTests.cpp
@@ -55,7 +55,7 @@
 
 BOOST_AUTO_TEST_SUITE(WhenItHasJustBeenAsked)
 
-BOOST_AUTO_TEST_CASE(ThenItAnnouncesItAndKeepsServing)
+BOOST_AUTO_TEST_CASE(ThenItAnnouncesTheDrainAndKeepsServing)
 {
     BOOST_TEST(board.draining());
     BOOST_TEST(!board.refusesNewWork());
