--- a/src/drain/Drain.cpp
+++ b/src/drain/Drain.cpp
@@ -8,7 +8,7 @@
     // (docs/design/membership.md), and two readiness checks, one second apart, have failed by the end of this time.
     constexpr Duration announcementTime = milliseconds(2500);
     // Minimum time for sending the last messages.
-    constexpr Duration minLeavingTime = milliseconds(300);
+    constexpr Duration minimumLeavingTime = milliseconds(300);
 
     constexpr std::array<std::string_view, stopStepCount> stepNames { "node-draining", "node-refuses-new-work",
         "node-takes-nothing-new", "node-leaves", "node-ends" };
@@ -61,7 +61,7 @@
 bool Drain::hasLeft(const OpenWork& open) const
 {
     const bool isDone = !open.unsent && !open.connections;
-    return m_clock.now() - m_stepStartedAt >= minLeavingTime && (isDone || isPastLimit());
+    return m_clock.now() - m_stepStartedAt >= minimumLeavingTime && (isDone || isPastLimit());
 }
 
 bool Drain::hasAnsweredAll(const OpenWork& open) const
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -12,17 +12,17 @@
     constexpr Duration feedbackLifetime = seconds(1);
     // EWMA of the reported shed levels: the minimum weight of a new report, so that the servers of a service are
     // averaged, and the time constant after which earlier reports have little weight.
-    constexpr double minShedLevelWeight = 0.5;
+    constexpr double minimumShedLevelWeight = 0.5;
     constexpr Duration shedLevelTimeConstant = milliseconds(50);
     // Probes per passed request: requests that pass although they would be shed, to detect when shedding ends.
     constexpr double probeFraction = 0.01;
     // Consecutive failures that set a server aside (outlier ejection), and for how long, with exponential backoff.
     constexpr uint32_t failuresToSetAside = 3;
     constexpr Duration initialSetAsideTime = seconds(1);
-    constexpr Duration maxSetAsideTime = seconds(30);
+    constexpr Duration maximumSetAsideTime = seconds(30);
     constexpr double setAsideJitter = 0.2;
     // Minimum fraction of a service's servers that stays in use.
-    constexpr double minFractionInUse = 0.5;
+    constexpr double minimumFractionInUse = 0.5;
     // Load of a server in this zone above which servers in other zones are considered too, and the load that is added
     // to a server in another zone.
     constexpr double crossZoneLoadThreshold = 0.8;
@@ -146,7 +146,7 @@
         return std::pair(eligibleAt(*left.record, now), left.node)
             < std::pair(eligibleAt(*right.record, now), right.node);
     });
-    const auto floor = static_cast<size_t>(std::ceil(minFractionInUse * double(present.size())));
+    const auto floor = static_cast<size_t>(std::ceil(minimumFractionInUse * double(present.size())));
     while (present.size() > floor && eligibleAt(*present.back().record, now) > now)
         present.pop_back();
     return present;
@@ -238,7 +238,7 @@
     if (server.setAsideUntil > now)
         return;
     const auto doubled = initialSetAsideTime * (uint64_t(1) << std::min(server.setAsides, 5U));
-    server.setAsideUntil = now + random.jittered(std::min<Duration>(doubled, maxSetAsideTime), setAsideJitter);
+    server.setAsideUntil = now + random.jittered(std::min<Duration>(doubled, maximumSetAsideTime), setAsideJitter);
     ++server.setAsides;
 }
 
@@ -293,7 +293,7 @@
         }
         auto& record = found->second;
         const double aged = 1 - std::exp(-double((now - record.at).count()) / double(shedLevelTimeConstant.count()));
-        record.level += std::max(minShedLevelWeight, aged) * (reported - record.level);
+        record.level += std::max(minimumShedLevelWeight, aged) * (reported - record.level);
         record.at = now;
         if (reported <= 0 && record.level < 1e-3)
             records.erase(found);
--- a/src/retry/Retry.cpp
+++ b/src/retry/Retry.cpp
@@ -13,11 +13,11 @@
     constexpr double tokensReservedForCallers = 2;
     // Backoff before the first retry, doubled for each further one up to the maximum.
     constexpr Duration initialBackoff = milliseconds(5);
-    constexpr Duration maxBackoff = milliseconds(200);
+    constexpr Duration maximumBackoff = milliseconds(200);
     constexpr double jitterFraction = 0.5;
     // Retry-After while a service refuses few requests, and while it refuses all of them.
-    constexpr Duration minRetryAfter = milliseconds(500);
-    constexpr Duration maxRetryAfter = seconds(20);
+    constexpr Duration minimumRetryAfter = milliseconds(500);
+    constexpr Duration maximumRetryAfter = seconds(20);
     // Fraction of the target latency that a refused caller waits, and its jitter. The rest is left for the retry
     // itself.
     constexpr double targetLatencyFraction = 0.4;
@@ -121,7 +121,7 @@
     Duration backoffBefore(uint32_t number)
     {
         const auto doubled = initialBackoff * (uint64_t(1) << std::min(number - 1, 10U));
-        return random.jittered(std::min<Duration>(doubled, maxBackoff), jitterFraction);
+        return random.jittered(std::min<Duration>(doubled, maximumBackoff), jitterFraction);
     }
 
     Board& board;
@@ -236,8 +236,8 @@
         budget.refusals += 1;
         return std::min(1.0, budget.refusals / std::max(1.0, budget.firstAttempts + budget.refusals));
     });
-    const auto range = std::chrono::duration<double>(maxRetryAfter - minRetryAfter);
-    const auto base = minRetryAfter + std::chrono::duration_cast<Duration>(range * refused * refused);
+    const auto range = std::chrono::duration<double>(maximumRetryAfter - minimumRetryAfter);
+    const auto base = minimumRetryAfter + std::chrono::duration_cast<Duration>(range * refused * refused);
     return m_state->random.jittered(base, jitterFraction);
 }
 
--- a/tests/LaggingNodeTests.cpp
+++ b/tests/LaggingNodeTests.cpp
@@ -14,7 +14,7 @@
 constexpr Duration serviceTime = milliseconds(50);
 constexpr Duration lagSampleInterval = milliseconds(50);
 // A request passes nodes about 20 times in the deployments served, and may lose a quarter of its 1.5 s to their lag.
-constexpr Duration maxMeanLag = microseconds(18750);
+constexpr Duration maximumMeanLag = microseconds(18750);
 
 // A backend server with free slots, local to a node whose processor is the bottleneck.
 class LaggingNode : public Guard {
@@ -132,7 +132,7 @@
     const LaggingNode::ByClass rates { 450, 100, 900, 0 };
     simulate(rates, seconds(3));
     simulate(rates, seconds(10));
-    BOOST_TEST((meanLag() < maxMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
+    BOOST_TEST((meanLag() < maximumMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
     BOOST_TEST(servedShare(Importance::Critical) >= 0.98);
     BOOST_TEST(servedShare(Importance::High) >= 0.95);
     BOOST_TEST(servedRate(seconds(10)) >= 0.9 * processorRate);
@@ -142,7 +142,7 @@
 {
     simulate({ 300, 100, 300, 800 }, seconds(3));
     simulate({ 300, 100, 300, 800 }, seconds(10));
-    BOOST_TEST((meanLag() < maxMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
+    BOOST_TEST((meanLag() < maximumMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
     BOOST_TEST(servedShare(Importance::Low) < 0.5);
     BOOST_TEST(servedShare(Importance::Normal) >= 0.95);
     BOOST_TEST(servedShare(Importance::High) >= 0.95);
@@ -170,7 +170,7 @@
     const LaggingNode::ByClass rates { 1500, 0, 0, 0 };
     simulate(rates, seconds(3));
     simulate(rates, seconds(10));
-    BOOST_TEST((meanLag() < maxMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
+    BOOST_TEST((meanLag() < maximumMeanLag), "mean lag " << meanLag().count() / 1000 << " us");
     BOOST_TEST(servedRate(seconds(10)) >= 0.9 * processorRate);
 }
 
--- a/tests/PlacementTests.cpp
+++ b/tests/PlacementTests.cpp
@@ -229,7 +229,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(WhenResponsesReportAShedLevel)
+BOOST_AUTO_TEST_SUITE(WhenAnswersReportAShedLevel)
 
 BOOST_AUTO_TEST_CASE(ThenThoseLessImportantAreShedHere)
 {
