--- a/src/admission/Gate.cpp
+++ b/src/admission/Gate.cpp
@@ -20,7 +20,7 @@
     constexpr double minimumQueueCapacity = 4;
     // Event loop lag at which the node counts as full. Shedding starts at half of it and steers the lag to a quarter:
     // in the deployments served, a request has 1.5 s and passes a lagging node about twenty times (five sequential
-    // calls, each with request and response at two nodes).
+    // calls, each with request and answer at two nodes).
     constexpr Duration saturationLag = milliseconds(20);
     // QueueDelay baseline: dropping starts once the delay has exceeded the target for the interval, as in CoDel.
     constexpr Duration delayTarget = milliseconds(5);
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -243,7 +243,7 @@
 }
 
 // A reported level decreases linearly to zero between one and two feedback lifetimes, so that requests are readmitted
-// gradually when no response brings a new level.
+// gradually when no answer brings a new level.
 double Placement::State::decayedShedLevel(const ShedRecord& record) const
 {
     const double age = double((clock.now() - record.at).count()) / double(feedbackLifetime.count());
@@ -278,7 +278,7 @@
     return isShed;
 }
 
-// EWMA over the responses from all servers of a service; old reports lose their weight.
+// EWMA over the answers from all servers of a service; old reports lose their weight.
 void Placement::State::updateShedLevel(const CallCompletion& completion)
 {
     const double reported = completion.feedback->shedLevel;
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -19,7 +19,7 @@
     const RequestContext& context;
     /// Route of the request whose backend server made this call; empty for a caller's request.
     std::string_view parentRoute;
-    /// None when a response arrived.
+    /// None when an answer arrived.
     Reason reason { Reason::None };
     /// Load that the other side reported, if any.
     const LoadFeedback* feedback { nullptr };
--- a/tests/DeepServiceTests.cpp
+++ b/tests/DeepServiceTests.cpp
@@ -14,7 +14,7 @@
 constexpr Duration serviceTime = milliseconds(50);
 constexpr Duration callerTimeout = milliseconds(700);
 
-// Requests to a deep service at a constant rate: new requests of clients, or calls made by requests that run elsewhere.
+// Requests to a deep service at a constant rate: new requests of callers, or calls made by requests that run elsewhere.
 struct Flow {
     Rank rank;
     uint32_t depth { 1 };
--- a/tests/PlacementTests.cpp
+++ b/tests/PlacementTests.cpp
@@ -69,7 +69,7 @@
         return counts;
     }
 
-    // Completes a request whose response reports a shed level.
+    // Completes a request whose answer reports a shed level.
     void reportShedLevel(double level)
     {
         const auto choice = placement.choose("history", {});
