--- a/src/drain/Drain.cpp
+++ b/src/drain/Drain.cpp
@@ -53,7 +53,7 @@
 
 bool Drain::isAnnounced(const OpenWork&) const { return m_clock.now() - m_stepStartedAt >= announcementTime; }
 
-// The co-located backend server may make calls through this node for as long as it runs an attempt.
+// The local backend server may make calls through this node for as long as it runs an attempt.
 bool Drain::hasFinished(const OpenWork&) const { return !m_board.attempts().size() || isPastLimit(); }
 
 bool Drain::hasClosed(const OpenWork& open) const { return hasAnsweredAll(open) || isPastLimit(); }
--- a/src/entry/CallTracer.h
+++ b/src/entry/CallTracer.h
@@ -1,4 +1,4 @@
-/// Infers which request running at a co-located backend server made a call that carries no parent id. Private to the
+/// Infers which request running at a local backend server made a call that carries no parent id. Private to the
 /// entry library.
 #pragma once
 
@@ -36,7 +36,7 @@
     /// \param calledRoute the route being called
     /// \param remaining time to the deadline that the call carries
     /// \param readDelay longest time that the call may have waited in the socket before it was read
-    /// \return std::nullopt if no request is known to run at a co-located backend server
+    /// \return std::nullopt if no request is known to run at a local backend server
     std::optional<TracedCall> trace(
         std::string_view calledRoute, std::optional<Duration> remaining, Duration readDelay);
 
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -230,7 +230,7 @@
     if (!configuration)
         return self.refuse(Reason::NoConfiguration, configurationRetryAfter);
 
-    // 1. The parent, which must be running at a co-located backend server.
+    // 1. The parent, which must be running at a local backend server.
     EntryDecision decision;
     auto& context = decision.context;
     Reason reason = Reason::ParentUnknown;
--- a/src/entry/Entry.h
+++ b/src/entry/Entry.h
@@ -23,7 +23,7 @@
     std::optional<Duration> remaining;
     /// Importance that the caller asks for. It can only lower the request's rank, never raise it.
     std::optional<Importance> importance;
-    /// Length of the body, if known.
+    /// Length of the body in bytes, if known.
     std::optional<uint64_t> bodyBytes;
     /// Longest time that the request may have waited in the socket before it was read, from the lag of the event loop.
     /// It is deducted from a caller's remaining time, and indicates how overloaded the node's processor is.
@@ -57,13 +57,13 @@
     /// Decides on a caller's request, and charges it and its calls to the caller's account. A retry after a refusal is
     /// shed after other requests of its rank.
     ///
-    /// Where accounts are declared, a request to an open route is treated as a call of a co-located backend server if
+    /// Where accounts are declared, a request to an open route is treated as a call of a local backend server if
     /// that has running requests. Such a call carries no parent id. If its deadline identifies the parent, it inherits
     /// that request's rank, tree and depth; otherwise it inherits rank and depth from a running request sampled by the
     /// evidence for its route. Load reported by downstream services is thus attributed to ranks in proportion to the
     /// actual calls.
     EntryDecision decide(const IncomingRequest&);
-    /// Decides on a call that a co-located backend server makes for a request it is running. Account and importance
+    /// Decides on a call that a local backend server makes for a request it is running. Account and importance
     /// are the parent's, and its deadline and retries are upper bounds: the backend server cannot override them.
     EntryDecision decideCall(const IncomingRequest&, const AttemptId& parent);
 
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -42,7 +42,7 @@
 
     /// Rebuilds board.servers() from the announcements of the alive members in board.members(), and keeps the state of
     /// each server that is still announced. Servers of members that left or died, and withdrawn announcements, are
-    /// removed at once. Call after each change of membership or of the backend servers co-located with this node.
+    /// removed at once. Call after each change of membership or of the backend servers local to this node.
     void refresh();
 
     /// A backend server of the service that is not in `tried`; nullopt when there is none.
--- a/tests/EntryTests.cpp
+++ b/tests/EntryTests.cpp
@@ -63,13 +63,13 @@
         return entry.decide(request);
     }
 
-    // Makes a call from the co-located backend server with this remaining time.
+    // Makes a call from the local backend server with this remaining time.
     EntryDecision call(Duration remaining, Duration readDelay = Duration(0))
     {
         return decide("rides.example", "/registry/1", {}, remaining, readDelay);
     }
 
-    // Starts a request at the co-located backend server whose deadline is this far away.
+    // Starts a request at the local backend server whose deadline is this far away.
     void run(uint64_t sequence, const RouteName& route, Importance importance, Duration left = seconds(3))
     {
         const AttemptId id { { { 9 }, { 9 }, sequence }, 1 };
